--- a/packages/foxtaillever-relay/src/attempts/__tests__/planTerms.test.ts
+++ b/packages/foxtaillever-relay/src/attempts/__tests__/planTerms.test.ts
@@ -33,11 +33,11 @@
 /** One instance's view of the stores. */
 class Instance {
   readonly savedLevels = SavedLevels.create()
-  readonly fetchLoad = FetchLoad.create(store => this.told.get(store) ?? 0)
-  readonly told = new Map<string, number>()
+  readonly fetchLoad = FetchLoad.create(store => this.announcedTokens.get(store) ?? 0)
+  readonly announcedTokens = new Map<string, number>()
   readonly silent = new Set<string>()
 
-  /** @param tokensBefore that wait at the engine. */
+  /** @param tokensBefore prompt tokens that wait at the engine. */
   terms (subject: number, request: number, failureDomain = 'a', now = 0, tokensBefore = 0): SendTerms {
     const listed = listedEngine('e', '127.0.0.1:1', failureDomain)
     const levels = [{ id: 'root', tokens: 2520 }, { id: `subject ${subject}`, tokens: 3780 }, { id: `own ${request}`, tokens: OWN_TOKENS }]
@@ -47,31 +47,31 @@
 }
 
 describe('terms of a request with a shared prompt', () => {
-  // With several stores an instance that looks in another than the one that got the level finds nothing there, and the
-  // caller waits for thousands of tokens that were read before.
-  it('name the same store at every instance, and all stores in turn', t => {
-    const [one, other] = [new Instance(), new Instance()]
+  // With several stores, an instance that fetches from another store than the one that has the level finds nothing,
+  // and the caller waits for thousands of tokens that were read before.
+  it('name the same store at every instance, and spread levels over all stores', t => {
+    const [first, second] = [new Instance(), new Instance()]
     const counts = new Map<string, number>()
     for (let subject = 0; subject < SUBJECTS; subject++) {
-      const saved = one.terms(subject, 1)
+      const saved = first.terms(subject, 1)
       t.not(saved.saveTo, '')
-      t.is(other.terms(subject, 2).fetchFrom, saved.saveTo)
+      t.is(second.terms(subject, 2).fetchFrom, saved.saveTo)
       counts.set(saved.saveTo, (counts.get(saved.saveTo) ?? 0) + 1)
     }
     t.true([...counts.values()].every(count => count > SUBJECTS / 4), `${[...counts]}`)
   })
 
-  // One store's link is full. Its levels are read again; were the whole fleet to stop fetching, the engines would have
-  // to read what the other stores could bring at once.
-  it('leave out a store whose link is full, and no other', t => {
+  // The link of one store is full, so its levels are read again. If the fleet stopped fetching from all stores, engines
+  // would have to read what the other stores could deliver at once.
+  it('skip only the store whose link is full', t => {
     const instance = new Instance()
-    instance.told.set('store-b', 1_000_000)
+    instance.announcedTokens.set('store-b', 1_000_000)
     const sources = Array.from({ length: SUBJECTS }, (_, subject) => instance.terms(subject, 1).fetchFrom)
     t.deepEqual([...new Set(sources)].sort(), ['', 'store-a', 'store-c'])
   })
 
-  // A store is down. Whoever is told to fetch from it waits some hundred milliseconds for nothing.
-  it('name the next store while the home is silent, and have the level saved there', t => {
+  // A store is down. A server that is ordered to fetch from it waits some hundred milliseconds for nothing.
+  it('name the next store while the home does not answer, and have the level saved there', t => {
     const instance = new Instance()
     const home = instance.terms(1, 1).saveTo
     instance.silent.add(home)
@@ -85,8 +85,8 @@
     t.is(instance.terms(1, 4).fetchFrom, '')
   })
 
-  // A transfer between failure domains takes twice the link. Counted as one it would let fetches pile up.
-  it('count a far transfer twice, and only levels that the store is known to have', t => {
+  // A transfer between failure domains takes twice the link capacity. Counted once, fetches would pile up.
+  it('count a transfer between failure domains twice, and only levels that the store is known to have', t => {
     const instance = new Instance()
     const first = instance.terms(1, 1)
     const home = first.saveTo.replace('store-', '')
@@ -97,9 +97,9 @@
     t.is(instance.terms(1, 3, home === 'a' ? 'b' : 'a').fetchedTokens, 2 * 3780)
   })
 
-  // The engine's queue alone takes longer than the objective. Sent like any other, the request would be late, and so
-  // would the next one behind it, which could still be in time.
-  it('let a request that the queue makes late go behind the others, and no other', t => {
+  // The engine's queue alone takes longer than the objective. At its usual priority the request would be late, and it
+  // would also delay the next one, which could still be in time.
+  it('lower the priority of a request that the queue makes late, and of no other', t => {
     const { objectiveMs } = exchangeAt(0).route
     const instance = new Instance()
     const [idle, full] = [instance.terms(1, 1), instance.terms(2, 2, 'a', 0, objectiveMs * 110)]
--- a/packages/foxtaillever-relay/src/attempts/attempt.ts
+++ b/packages/foxtaillever-relay/src/attempts/attempt.ts
@@ -1,7 +1,7 @@
 /**
- * One try of an exchange at one backend server. Every word of the server is
- * checked before anyone hears it: an answer must bear the request's id and the
- * server's stamp, and it counts as whole only if its framing says so.
+ * One attempt of an exchange at one backend server. Every answer is checked
+ * before the listener receives it: it must carry the request's id and the
+ * server's stamp, and it counts as complete only if its framing says so.
  */
 import type { ClientRequest, IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
@@ -10,26 +10,26 @@
 import { ClosedServerError, type ServerCall, type ServerConnections } from '../servers/serverConnections.js'
 import { AttemptFailureKind, type AttemptFailure } from './attemptFailure.js'
 
-/** The head of a server's own answer, checked. */
+/** The checked head of an answer that comes from the server itself. */
 export interface AnswerHead {
   readonly status: number
   readonly marks: AnswerMarks
-  /** For the caller, names and values in turn. */
+  /** Headers for the caller, alternating names and values. */
   readonly headers: readonly string[]
-  /** Whether the answer itself says where it ends; otherwise it ends with its connection. */
+  /** Whether the answer itself states where it ends; otherwise it ends with its connection. */
   readonly isFramed: boolean
-  /** When it came, milliseconds of Unix time. */
+  /** When the head arrived, milliseconds of Unix time. */
   readonly at: number
 }
 
 export interface AttemptListener {
-  /** The first byte is about to leave; false holds it back. */
-  readonly mayLeave?: () => boolean
+  /** Called before the first byte is sent; returning false holds the request back. */
+  readonly maySend?: () => boolean
   readonly onHead: (head: AnswerHead) => void
   readonly onData: (bytes: Buffer) => void
-  /** The answer is whole. */
+  /** The answer is complete. */
   readonly onEnd: () => void
-  /** The try is over without a whole answer. */
+  /** The attempt ended without a complete answer. */
   readonly onFailed: (failure: AttemptFailure) => void
 }
 
@@ -41,8 +41,8 @@
   /** Longest wait for a connection, milliseconds. */
   readonly connectTimeoutMs: number
   readonly call: ServerCall
-  /** Not on a connection that has served nothing for so long, milliseconds; any will do without. */
-  readonly leastRestedMs?: number
+  /** Connections that have been idle for longer are not used, milliseconds; without it any connection is. */
+  readonly maxIdleMs?: number
   readonly listener: AttemptListener
 }
 
@@ -50,15 +50,15 @@
   private readonly request: ClientRequest
   private readonly cancelConnectTimeout: Cancellation
   private response: IncomingMessage | undefined
-  private hasLeft = false
+  private hasSent = false
   private isOver = false
-  /** The end of the connection was not the server's own. */
+  /** Whether a reset, rather than the server, ended the connection. */
   private wasReset = false
 
   private constructor (private readonly options: AttemptOptions) {
-    const { connections, call, clock, connectTimeoutMs, leastRestedMs = Infinity } = options
-    connections.closeRested(leastRestedMs)
-    this.request = connections.send(call, () => this.onLeft())
+    const { connections, call, clock, connectTimeoutMs, maxIdleMs = Infinity } = options
+    connections.closeRested(maxIdleMs)
+    this.request = connections.send(call, () => this.onFirstByte())
     this.request.on('response', response => this.onResponse(response))
     this.request.on('error', error => this.onError(error))
     this.cancelConnectTimeout = atAfterReading(clock, clock.now() + connectTimeoutMs, () => this.onConnectTimeout())
@@ -70,31 +70,31 @@
 
   /** Whether bytes of the request may have reached the server. */
   get mayHaveArrived (): boolean {
-    return this.hasLeft
+    return this.hasSent
   }
 
-  /** Whether it went out on a connection that had served other requests before. */
-  get isOnKeptConnection (): boolean {
+  /** Whether the request was sent on a connection that had served other requests before. */
+  get isOnReusedConnection (): boolean {
     return this.request.reusedSocket
   }
 
-  /** Ends the try in silence; closing the connection tells the server to stop. */
+  /** Ends the attempt without calling the listener; closing the connection makes the server stop. */
   cancel (): void {
     this.finish()
     this.request.destroy()
   }
 
-  /** Nothing was heard for too long. */
-  giveUp (): void {
-    this.fail(this.hasLeft ? AttemptFailureKind.Silent : AttemptFailureKind.Unreachable, 'no answer in time')
+  /** Fails the attempt because nothing was received for too long. */
+  timeOut (): void {
+    this.fail(this.hasSent ? AttemptFailureKind.Silent : AttemptFailureKind.Unreachable, 'no answer in time')
   }
 
-  /** What came is not an answer to this request. */
+  /** Fails the attempt because the answer is malformed. */
   reject (detail: string): void {
     this.fail(AttemptFailureKind.Malformed, detail)
   }
 
-  /** The caller reads too slowly; the server has to wait. */
+  /** Stops reading from the server because the caller reads too slowly. */
   pause (): void {
     this.response?.pause()
   }
@@ -103,28 +103,28 @@
     this.response?.resume()
   }
 
-  private onLeft (): void {
-    if (this.options.listener.mayLeave?.() === false) {
+  private onFirstByte (): void {
+    if (this.options.listener.maySend?.() === false) {
       this.fail(AttemptFailureKind.HeldBack, 'held back before its first byte')
       return
     }
-    this.hasLeft = true
+    this.hasSent = true
     this.cancelConnectTimeout?.()
   }
 
   private onConnectTimeout (): void {
-    if (!this.hasLeft) {
+    if (!this.hasSent) {
       this.fail(AttemptFailureKind.Unreachable, 'no connection in time')
     }
   }
 
   private onError (error: Error): void {
-    // What comes after a whole answer belongs to no request; its connection is closed, and the answer counts.
+    // Bytes after a complete answer belong to no request. The connection is closed, and the answer counts.
     if (this.response?.complete === true) {
       return
     }
     const { code = error.message } = error as NodeJS.ErrnoException
-    if (!this.hasLeft) {
+    if (!this.hasSent) {
       this.fail(error instanceof ClosedServerError ? AttemptFailureKind.Closed : AttemptFailureKind.Unreachable, code)
       return
     }
@@ -140,13 +140,13 @@
     const marks = this.options.wire.readMarks(status, response.headers)
     const failure = this.checkHead(status, marks)
     if (failure) {
-      this.refuse(response, failure)
+      this.rejectResponse(response, failure)
       return
     }
     this.response = response
     if (!isFramed(response)) {
       const { socket } = response
-      // Before node:http, which closes the connection at its end.
+      // Prepended, because the listener of node:http closes the connection at its end.
       socket.prependOnceListener('end', () => { this.wasReset = isDisconnected(socket) })
     }
     response.on('data', bytes => this.onData(bytes))
@@ -160,7 +160,7 @@
   private checkHead (status: number, marks: AnswerMarks): AttemptFailure | undefined {
     const { requestId, wire } = this.options
     if (marks.requestId !== undefined && marks.requestId !== requestId) {
-      return { kind: AttemptFailureKind.Foreign, detail: `answer to ${marks.requestId}` }
+      return { kind: AttemptFailureKind.Foreign, detail: `answer to request ${marks.requestId}` }
     }
     if (status === MISDIRECTED) {
       return { kind: AttemptFailureKind.Misdirected, detail: describeMisdirected(marks), serverId: marks.serverId }
@@ -169,15 +169,15 @@
       return { kind: AttemptFailureKind.Refused, detail: `status ${status}` }
     }
     if (wire.notRunStatuses.has(status)) {
-      // Passed on, it would promise the caller what the server did not say.
-      return { kind: AttemptFailureKind.Malformed, detail: `status ${status} without a word that it did not run` }
+      // If forwarded, this status would promise the caller that the request did not run, which the server did not state.
+      return { kind: AttemptFailureKind.Malformed, detail: `status ${status} without a statement that the request did not run` }
     }
-    // Without the stamp nothing proves that the bytes come from the server.
+    // Without the stamp nothing proves that the answer comes from the server.
     return marks.isStamped ? undefined : { kind: AttemptFailureKind.Malformed, detail: `status ${status} without a stamp` }
   }
 
-  /** The rest of a refusal is read, so that its connection can be kept; what is not to be trusted is closed. */
-  private refuse (response: IncomingMessage, failure: AttemptFailure): void {
+  /** Reads a refusal to its end, so that its connection can be reused; the connection of an untrusted answer is closed. */
+  private rejectResponse (response: IncomingMessage, failure: AttemptFailure): void {
     const { kind, detail } = failure
     const isKept = kind === AttemptFailureKind.Refused || kind === AttemptFailureKind.Misdirected
     if (!isKept) {
@@ -213,7 +213,7 @@
     }
     this.finish()
     this.request.destroy()
-    this.options.listener.onFailed({ kind, detail, isOnKeptConnection: this.isOnKeptConnection && this.response === undefined })
+    this.options.listener.onFailed({ kind, detail, isOnReusedConnection: this.isOnReusedConnection && this.response === undefined })
   }
 
   private finish (): void {
@@ -222,22 +222,22 @@
   }
 }
 
-/** Status of a server that is not the expected one. */
+/** Status of a server that is not the expected one, or has other weights. */
 const MISDIRECTED = 421
 
-/** These have no body, whatever their headers say. */
-const bodiless = new Set([204, 304])
+/** Statuses whose answers have no body, whatever their headers say. */
+const bodilessStatuses = new Set([204, 304])
 
 function isFramed ({ headers, statusCode = 0 }: IncomingMessage): boolean {
-  return bodiless.has(statusCode) || headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined
+  return bodilessStatuses.has(statusCode) || headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined
 }
 
 /**
- * Whether the connection is gone in both directions. Where a reset arrives
- * together with the last bytes, libuv reports the end of the stream in its
- * place, so that a cut answer without a length would look whole. The operating
- * system knows no peer of a connection that was reset, but does of one that the
- * peer has ended. Nothing asks for the address before, so it is not yet cached.
+ * Whether the connection is closed in both directions. Where a reset arrives
+ * together with the last bytes, libuv reports the end of the stream instead, so
+ * a truncated answer without a length would look complete. The operating system
+ * has no peer address for a connection that was reset, but still has one after
+ * the peer ended it. The address is not read earlier, so it is not yet cached.
  */
 function isDisconnected (socket: Socket): boolean {
   return socket.remoteAddress === undefined
--- a/packages/foxtaillever-relay/src/attempts/planTerms.ts
+++ b/packages/foxtaillever-relay/src/attempts/planTerms.ts
@@ -1,4 +1,4 @@
-/** What a try tells the server about cached levels, weights and time. */
+/** Plans what an attempt sends to the server about cached levels, weights, priority and deadline. */
 import { hashNumber } from 'foxtaillever-core'
 import type { SavedLevels } from 'foxtaillever-policy/relay/savedLevels'
 import { homeOf } from 'foxtaillever-policy/relay/levelHome'
@@ -14,21 +14,22 @@
 const MIDDLE_PRIORITY = 5
 
 /**
- * Identity under which levels are cached. Neither engines nor stores say under
- * which weights a level was made, and they check no account: so both are part
- * of the name, and a level of other weights or behind a wall is never found.
+ * Identity under which levels are cached. Neither engines nor stores record the
+ * weights that produced a level, and they check no client account. Both are
+ * therefore part of the identity, so that a level of other weights or of an
+ * isolated account is never found.
  */
 export function cacheSaltOf ({ account }: Exchange, weightsVersion: number): string {
-  const wall = account?.isIsolated === true ? `a:${account.name}` : 'shared'
-  return `${wall}/w${weightsVersion}`
+  const isolationKey = account?.isIsolated === true ? `a:${account.name}` : 'shared'
+  return `${isolationKey}/w${weightsVersion}`
 }
 
-/** The level at its store under the weights, as it is saved. */
+/** Hash of the shared level of a prompt, as saved at a store under these weights. */
 export function savedLevelOf (exchange: Exchange, prompt: Prompt, weightsVersion: number, store: CacheStore): number {
   return hashNumber(`${prompt.model}/${cacheSaltOf(exchange, weightsVersion)}/${sharedLevelOf(prompt)}@${store.address}`)
 }
 
-/** The same, where it is saved once a server reads it; undefined where it is not. */
+/** Hash under which the shared level is saved once this server has read it; undefined where it is not saved. */
 export function savedLevelAt (exchange: Exchange, { weights }: Pick<KnownServer, 'weights'>, stores: readonly CacheStore[]): number | undefined {
   const { prompt } = exchange
   const key = promptKeyOf(exchange)
@@ -37,63 +38,63 @@
   return prompt && version !== undefined && store ? savedLevelOf(exchange, prompt, version, store) : undefined
 }
 
-/** Tokens after the levels that other requests share; a prompt of one level may be shared as a whole. */
+/** Tokens after the levels shared with other requests; a prompt of one level may be shared as a whole. */
 export function ownTokensOf ({ levels, promptTokens }: Prompt): number {
   return levels.length < 2 ? 0 : Math.min(promptTokens, levels[levels.length - 1]?.tokens ?? 0)
 }
 
-/** Tokens of the level that an engine lacks most often: those before it are shared by more requests and seldom dropped. */
+/** Tokens of the level that an engine most often lacks: earlier levels are shared by more requests and seldom evicted. */
 export function deepestSharedTokensOf ({ levels, promptTokens }: Prompt): number {
   return levels[levels.length - 2]?.tokens ?? promptTokens
 }
 
-/** The deepest level that other requests share; the last one is the request's own or its session's. */
+/** The deepest level shared with other requests; the last level belongs to the request or its session. */
 function sharedLevelOf ({ levels }: Prompt): string {
   return (levels[levels.length - 2] ?? levels[levels.length - 1])?.id ?? ''
 }
 
-/** Hash of the levels that requests share, which names their home; undefined without a prompt. */
+/** Hash of the shared levels, from which their home is computed; undefined without a prompt. */
 export function promptKeyOf ({ prompt, account }: Exchange): number | undefined {
   if (!prompt) {
     return undefined
   }
-  const wall = account?.isIsolated === true ? account.name : ''
-  return hashNumber(`${prompt.model}/${wall}/${sharedLevelOf(prompt)}`)
+  const isolationKey = account?.isIsolated === true ? account.name : ''
+  return hashNumber(`${prompt.model}/${isolationKey}/${sharedLevelOf(prompt)}`)
 }
 
-/** Terms of a try that neither fetches nor saves. */
+/** Terms of an attempt that neither fetches nor saves levels. */
 const noCache = { fetchFrom: '', saveTo: '', fetchedTokens: 0, fetchUntil: 0, savedLevel: undefined }
 
-export interface TermsSources {
+export interface TermsInputs {
   readonly routing: Routing
-  /** Stores of cached levels that answer. */
+  /** Reachable stores of cached levels. */
   readonly stores: readonly CacheStore[]
   readonly savedLevels: SavedLevels
   readonly fetchLoad: FetchLoad
-  /** Prompt tokens before it at the server. */
+  /** Prompt tokens that the server reads before those of this request. */
   readonly tokensBefore: number
-  /** What the engines of the service read in a millisecond. */
+  /** Prompt tokens that an engine of the service reads per millisecond. */
   readonly tokensPerMs: number
   /** Milliseconds of Unix time. */
   readonly now: number
 }
 
-export function planTerms (exchange: Exchange, server: Pick<KnownServer, 'listed' | 'weights'>, resumeAfter: string, sources: TermsSources): SendTerms {
+export function planTerms (exchange: Exchange, server: Pick<KnownServer, 'listed' | 'weights'>, resumeAfter: string, inputs: TermsInputs): SendTerms {
   const { account, route, deadline } = exchange
   const priority = Math.min(LAST_PRIORITY, account?.priority ?? route.priority ?? MIDDLE_PRIORITY)
-  const levels = planLevels(exchange, server, sources)
-  const isYielding = exchange.prompt !== undefined && isToYield(expectedStart(exchange, levels.unreadTokens, sources))
+  const levels = planLevels(exchange, server, inputs)
+  const isYielding = exchange.prompt !== undefined && isToYield(expectedStart(exchange, levels.unreadTokens, inputs))
   return { ...levels, server: server.listed, deadline, resumeAfter, isYielding, priority: isYielding ? yieldPriority(priority) : priority }
 }
 
-export function expectedStart ({ arrivedAt, route }: Exchange, unreadTokens: number, { tokensBefore, tokensPerMs, now }: Pick<TermsSources, 'tokensBefore' | 'tokensPerMs' | 'now'>): ExpectedStart {
+export function expectedStart ({ arrivedAt, route }: Exchange, unreadTokens: number, { tokensBefore, tokensPerMs, now }: Pick<TermsInputs, 'tokensBefore' | 'tokensPerMs' | 'now'>): ExpectedStart {
   return { elapsedMs: now - arrivedAt, waitMs: tokensBefore / tokensPerMs, readMs: unreadTokens / tokensPerMs, objectiveMs: route.objectiveMs }
 }
 
 /** The part of the terms that concerns cached levels. */
 type LevelTerms = Pick<SendTerms, 'cacheSalt' | 'weightsVersion' | 'fetchFrom' | 'saveTo' | 'unreadTokens' | 'fetchedTokens' | 'fetchUntil' | 'savedLevel'>
 
-function planLevels (exchange: Exchange, server: Pick<KnownServer, 'listed' | 'weights'>, { routing, stores, savedLevels, fetchLoad, now }: TermsSources): LevelTerms {
+function planLevels (exchange: Exchange, server: Pick<KnownServer, 'listed' | 'weights'>, { routing, stores, savedLevels, fetchLoad, now }: TermsInputs): LevelTerms {
   const { prompt } = exchange
   const weightsVersion = prompt && server.weights.get(prompt.model)
   if (prompt === undefined || weightsVersion === undefined) {
@@ -107,12 +108,12 @@
     return { ...noCache, cacheSalt, weightsVersion, unreadTokens: prompt.promptTokens }
   }
   const level = savedLevelOf(exchange, prompt, weightsVersion, store)
-  const isFar = store.failureDomain !== server.listed.failureDomain
+  const isCrossDomain = store.failureDomain !== server.listed.failureDomain
   const link = { tokensOnTheWay: fetchLoad.tokensAt(store.address, now), tokensPerMs: store.linkBytesPerMs / tokenBytes }
   const isFetched = mayFetch(link)
-  // What was saved is found at the server or fetched; what comes after it is read in any case.
+  // A saved level is found at the server or fetched; the tokens after it are read in any case.
   const isFound = isFetched && savedLevels.has(level, now)
-  const fetchedTokens = isFound ? linkTokens(deepestSharedTokensOf(prompt), isFar) : 0
+  const fetchedTokens = isFound ? linkTokens(deepestSharedTokensOf(prompt), isCrossDomain) : 0
   const isSaved = maySave(link) && savedLevels.take(level, now)
   return {
     cacheSalt,
--- a/packages/foxtaillever-relay/src/exchange/beginAttempt.ts
+++ b/packages/foxtaillever-relay/src/exchange/beginAttempt.ts
@@ -16,7 +16,7 @@
     wire,
     connections: server.connections,
     requestId: id,
-    leastRestedMs: isRepeatable(exchange) ? Infinity : directory.experience.leastRestedMs(service, beganAt),
+    maxIdleMs: isRepeatable(exchange) ? Infinity : directory.experience.leastRestedMs(service, beganAt),
     connectTimeoutMs,
     call: { method, path, headers, body },
     listener
--- a/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
@@ -214,12 +214,12 @@
       return
     }
     const { attempt, server } = current
-    context.log.silent(exchange, current.serverId, attempt.isOnKeptConnection)
+    context.log.silent(exchange, current.serverId, attempt.isOnReusedConnection)
     // Connections of one age tend to go silent together; the server itself may be well.
     server.connections.closeIdle()
     if (isBetterGivenUp(context, exchange, { current, ledger, canContinue: relay.canContinue, hasBegun: answer.hasBegun })) {
-      attempt.giveUp()
-    } else if (!attempt.isOnKeptConnection) {
+      attempt.timeOut()
+    } else if (!attempt.isOnReusedConnection) {
       context.directory.experience.observeFault(server, this.now)
     }
   }
--- a/packages/foxtaillever-relay/src/exchange/observeFailure.ts
+++ b/packages/foxtaillever-relay/src/exchange/observeFailure.ts
@@ -1,11 +1,11 @@
 /** What an instance learns from a try that failed, beside what its exchange makes of it. */
-import { AttemptFailureKind, meaningOf, mayBeCrash, spoilsConnections, type AttemptFailure } from '../attempts/attemptFailure.js'
+import { AttemptFailureKind, meaningOf, mayBeCrash, mayBeStaleConnection, type AttemptFailure } from '../attempts/attemptFailure.js'
 import type { Exchange } from '../model/exchange.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import type { ExchangeContext } from './exchangeContext.js'
 
 export function observeFailure ({ clock, log, directory, suspects, onUnreachable }: ExchangeContext, exchange: Exchange, server: KnownServer | undefined, failure: AttemptFailure): void {
-  const { verdict, isServersFault } = meaningOf[failure.kind]
+  const { verdict, isServerFault: isServersFault } = meaningOf[failure.kind]
   const now = clock.now()
   const id = server?.listed.id ?? ''
   log.attemptFailed(exchange, id, failure, verdict)
@@ -23,7 +23,7 @@
     // It is full, or about to change its weights.
     server.refusedAt = now
   }
-  if (spoilsConnections(failure)) {
+  if (mayBeStaleConnection(failure)) {
     directory.experience.distrustKept(exchange.service, now)
   }
   if (mayBeCrash(failure.kind)) {
--- a/packages/foxtaillever-relay/src/telemetry/relayLog.ts
+++ b/packages/foxtaillever-relay/src/telemetry/relayLog.ts
@@ -56,7 +56,7 @@
     this.logs.write('debug', Part.Requests, 'Passed on the first event.', { request: exchange.id, afterMs: Math.round(now - exchange.arrivedAt) })
   }
 
-  attemptFailed (exchange: Exchange, server: string, { kind, detail, isOnKeptConnection }: AttemptFailure, verdict: Verdict): void {
+  attemptFailed (exchange: Exchange, server: string, { kind, detail, isOnReusedConnection: isOnKeptConnection }: AttemptFailure, verdict: Verdict): void {
     this.metrics.count('tries_failed_total', { kind })
     this.logs.writeFailure(Part.Requests, 'A try failed.', { request: exchange.id, server, kind, detail, verdict, connection: isOnKeptConnection === true ? 'kept' : undefined })
   }
--- a/packages/foxtaillever-router/src/adapters/streamHandler.ts
+++ b/packages/foxtaillever-router/src/adapters/streamHandler.ts
@@ -60,7 +60,7 @@
     const { clock, connections, requestId, call } = options
     const until = (heardAt: number): number => heardAt + SILENCE_MS
     this.watch = SilenceWatch.start({ clock, firstUntil: until(clock.now()), nextUntil: until, onSilent: () => this.onSilent() })
-    this.attempt = Attempt.begin({ clock, connections, requestId, call, wire: engineWire, connectTimeoutMs: CONNECT_TIMEOUT_MS, leastRestedMs: Infinity, listener: this })
+    this.attempt = Attempt.begin({ clock, connections, requestId, call, wire: engineWire, connectTimeoutMs: CONNECT_TIMEOUT_MS, maxIdleMs: Infinity, listener: this })
   }
 
   static create (options: StreamOptions): StreamHandler {
@@ -94,7 +94,7 @@
     this.attempt.resume()
   }
 
-  mayLeave (): boolean {
+  maySend (): boolean {
     return this.options.listener.sent()
   }
 
@@ -135,7 +135,7 @@
   /** A caller that reads slowly holds the engine up; that is no silence of the engine. */
   private onSilent (): void {
     if (!this.isPaused) {
-      this.attempt.giveUp()
+      this.attempt.timeOut()
     }
   }
 
