--- a/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
+++ b/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
@@ -127,9 +127,9 @@
       onLoadChanged: () => this.onLoadChanged(),
       onSaved: () => {},
       onUnreachable: ({ listed }) => { this.unreachable.push(listed.id) },
-      askLoad: () => undefined,
+      queryLoad: () => undefined,
       place: (_, { failed }) => this.directory.ready('s').find(server => !failed.has(server.listed.id) && opensAt(server) <= clock.now()),
-      returnAt: service => returns.returnAt(service),
+      earliestRetryAt: service => returns.returnAt(service),
       onMisdirected: () => {}
     }
     this.retries.observeInstances(1)
--- a/packages/foxtaillever-relay/src/__tests__/answers.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/answers.test.ts
@@ -273,7 +273,7 @@
       rig.directory.remove(`s${index}`, 100 + index)
     }
     const other = await RelayRig.start({}, arrival => arrival.socket.write(wholeAnswer(arrival, 'hello')))
-    other.suspects.hear(rig.suspects.toTell(rig.clock.now()), other.clock.now())
+    other.suspects.receiveFacts(rig.suspects.factsToAnnounce(rig.clock.now()), other.clock.now())
     t.regex(await other.ask('d', 'poison'), /^HTTP\/1.1 503 /)
     t.regex(await other.ask('e', 'harmless'), /^HTTP\/1.1 200 /)
     rig.stop()
--- a/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
@@ -12,7 +12,7 @@
 import type { Arrival } from '../__fixtures__/scriptedServer.js'
 import { withoutStores } from '../cache/cacheUse.js'
 import { CrashSuspects } from '../exchange/crashSuspects.js'
-import { ExchangeDesk } from '../exchange/exchangeDesk.js'
+import { ExchangeDispatcher } from '../exchange/exchangeDispatcher.js'
 import { ServerState } from '../model/listedServer.js'
 import { noQuotas } from '../limits/accountQuotas.js'
 import { noSharedLimits } from '../limits/limitProtocol.js'
@@ -22,9 +22,9 @@
   socket.write(`HTTP/1.1 200 OK\r\nrequest-id: ${id}\r\nstamp: s\r\ncontent-length: 2\r\n\r\nok`)
 }
 
-function createDesk (clock: VirtualClock, told: string[]): ExchangeDesk {
+function createDesk (clock: VirtualClock, told: string[]): ExchangeDispatcher {
   const destination = new PassThrough().on('data', line => { told.push(String(line)) })
-  return ExchangeDesk.create({
+  return ExchangeDispatcher.create({
     ...withoutStores,
     clock,
     random: SeededRandom.create(1),
@@ -39,11 +39,11 @@
     weights: { outdatedSince: () => undefined },
     weightsBoundMs: Infinity,
     routing: () => undefined,
-    askLoad: () => undefined,
+    queryLoad: () => undefined,
     onLoadChanged: () => {},
     onSaved: () => {},
     onUnreachable: () => {},
-    onRestAsked: () => {},
+    onBackoffRequested: () => {},
     limitProtocol: () => noSharedLimits,
     onLimitChanged: () => {},
     onServerChanged: () => {},
@@ -68,9 +68,9 @@
     const desk = createDesk(clock, told)
     desk.directory.observe({ id: 'dark', startedAt: 0, service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 8, state: ServerState.Ready, coldLeftMs: 0, weights: new Map() }, 1)
     const dark = desk.directory.get('dark')
-    desk.hearUnreachable(dark?.hash ?? 0)
-    desk.hearUnreachable(dark?.hash ?? 0)
-    desk.hearUnreachable(4711)
+    desk.recordUnreachable(dark?.hash ?? 0)
+    desk.recordUnreachable(dark?.hash ?? 0)
+    desk.recordUnreachable(4711)
     t.true((dark?.absentUntil ?? 0) > clock.now())
     await new Promise(resolve => setImmediate(resolve))
     t.is(told.join('').split('could not reach').length - 1, 1)
--- a/packages/foxtaillever-relay/src/exchange/__tests__/crashSuspects.test.ts
+++ b/packages/foxtaillever-relay/src/exchange/__tests__/crashSuspects.test.ts
@@ -1,7 +1,8 @@
 /**
- * A server goes down with dozens of requests, one at each instance of a large
- * fleet, and all are told of. The one that crashed it comes again through other
- * instances and takes a server each time, until all know of three.
+ * A server that crashes loses dozens of requests, one at each instance of a
+ * large fleet, and all of them are announced. Guards against the request that
+ * caused the crash getting lost among them: it would be retried through other
+ * instances and crash a server each time.
  */
 import { describe, it } from 'foxtaillever-testing'
 import { plainRoute } from '../../__fixtures__/relayRig.js'
@@ -32,18 +33,18 @@
 }
 
 describe('CrashSuspects', () => {
-  it('tells what it saw itself among many that it heard of', t => {
+  it('announces its own losses although it received many from others', t => {
     const poison = createExchange('poison')
     const witnesses = [CrashSuspects.create(), CrashSuspects.create(), CrashSuspects.create()]
     const newcomer = CrashSuspects.create()
     witnesses.forEach((witness, index) => {
-      witness.accuse(poison, `server-${index}`, 0)
+      witness.recordLoss(poison, `server-${index}`, 0)
       for (let other = 0; other < MANY; other += 1) {
         const elsewhere = CrashSuspects.create()
-        elsewhere.accuse(createExchange(`harmless-${index}-${other}`), `server-${index}`, 1)
-        witness.hear(elsewhere.toTell(1), 1)
+        elsewhere.recordLoss(createExchange(`harmless-${index}-${other}`), `server-${index}`, 1)
+        witness.receiveFacts(elsewhere.factsToAnnounce(1), 1)
       }
-      newcomer.hear(witness.toTell(2), 2)
+      newcomer.receiveFacts(witness.factsToAnnounce(2), 2)
     })
     t.true(newcomer.isRefused(poison, 3))
     t.false(newcomer.isRefused(createExchange('harmless-0-0'), 3))
--- a/packages/foxtaillever-relay/src/exchange/__tests__/silenceWatch.test.ts
+++ b/packages/foxtaillever-relay/src/exchange/__tests__/silenceWatch.test.ts
@@ -21,27 +21,27 @@
 }
 
 describe('SilenceWatch', () => {
-  // The process has no processor for a while, or its machine stood still. The server's answer came in time and waits
-  // in the socket, but the timer is due first: the try is given up, and a request that may run once is lost.
-  it('hears what arrived while the process was held up', async t => {
+  // The process gets no CPU time for a while, or its machine was suspended. The server's answer arrived in time and
+  // waits in the socket, but the timer fires first: the attempt times out, and a request that may run only once is lost.
+  it('counts data that arrived while the process was blocked', async t => {
     const clock = SystemClock.create()
     const { near, far, close } = await openPair()
     await new Promise<void>(resolve => far.write('an answer', () => resolve()))
     const until = clock.now() + PATIENCE_MS
     let isSilent = false
     const watch = SilenceWatch.start({ clock, firstUntil: until, nextUntil: () => Infinity, onSilent: () => { isSilent = true } })
-    const heard = new Promise<void>(resolve => near.once('data', () => {
-      watch.hear()
+    const received = new Promise<void>(resolve => near.once('data', () => {
+      watch.recordActivity()
       resolve()
     }))
     holdUpUntil(until)
-    await heard
+    await received
     watch.stop()
     t.false(isSilent)
     close()
   })
 
-  it('tells silence where nothing arrived', async t => {
+  it('reports silence where no data arrived', async t => {
     const clock = SystemClock.create()
     await new Promise<void>(resolve => {
       const watch = SilenceWatch.start({
--- a/packages/foxtaillever-relay/src/exchange/answerRelay.ts
+++ b/packages/foxtaillever-relay/src/exchange/answerRelay.ts
@@ -1,33 +1,33 @@
 /**
- * Passes the answer of a backend server on to the caller: held until it is
- * whole while it is small, so that a cut one can be tried again; event by event
- * where the answer is a stream, so that it can go on at another server.
+ * Forwards the answer of a backend server to the caller. A small answer is
+ * buffered until it is complete, so that a truncated one can be retried; a
+ * stream is forwarded event by event, so that another server can resume it.
  */
 import type { AnswerHead } from '../attempts/attempt.js'
 import type { Exchange } from '../model/exchange.js'
 import { EventSplitter } from '../streams/eventSplitter.js'
 import type { CallerAnswer } from './callerAnswer.js'
 
-/** Answers up to this size are held until they are whole, bytes. */
-const MOST_HELD_BYTES = 256 * 1024
+/** Answers up to this size are buffered until they are complete, bytes. */
+const MAX_BUFFERED_BYTES = 256 * 1024
 
 export interface AnswerRelayListener {
-  /** The first event goes to the caller. */
+  /** The first event is sent to the caller. */
   readonly onFirstEvent: () => void
-  /** Events that came together go to the caller. */
+  /** One or more events that arrived together are sent to the caller. */
   readonly onEvents: () => void
   /** The caller reads more slowly than the server writes. */
-  readonly onFull: () => void
+  readonly onBackpressure: () => void
 }
 
 export class AnswerRelay {
   private head: AnswerHead | undefined
-  private held: Buffer[] = []
-  private heldBytes = 0
+  private buffered: Buffer[] = []
+  private bufferedBytes = 0
   private splitter = EventSplitter.create()
-  /** Events go to the caller as they arrive. */
+  /** Events are sent to the caller as they arrive. */
   private isStreaming = false
-  /** The last event that the caller has. */
+  /** Id of the last event sent to the caller. */
   lastEventId: string
 
   private constructor (private readonly exchange: Exchange, private readonly answer: CallerAnswer, private readonly listener: AnswerRelayListener) {
@@ -39,38 +39,38 @@
   }
 
   get body (): Buffer {
-    return Buffer.concat(this.held)
+    return Buffer.concat(this.buffered)
   }
 
-  /** Whether another run may take over: the caller has nothing yet, or whole events of a stream that may be resumed. */
+  /** Whether another attempt may continue the answer: the caller has received nothing yet, or only complete events of a resumable stream. */
   get canContinue (): boolean {
     const { isStream, isResumable } = this.exchange.route
     return !this.answer.hasBegun || (isStream && isResumable && this.isStreaming)
   }
 
-  /** A new try begins; what is held of the one before is dropped. */
+  /** Starts a new attempt and drops what is buffered of the previous one. */
   reset (): void {
     this.head = undefined
-    this.held = []
-    this.heldBytes = 0
+    this.buffered = []
+    this.bufferedBytes = 0
     this.splitter = EventSplitter.create()
   }
 
-  /** Returns why the answer does not fit, if it does not. */
+  /** Returns why this answer cannot continue the one that was begun; undefined where it can. */
   begin (head: AnswerHead): string | undefined {
     const isStreaming = this.exchange.route.isStream && head.marks.isEventStream && head.status < 300
     if (this.answer.hasBegun && !isStreaming) {
-      return `status ${head.status} in the middle of an answer`
+      return `status ${head.status} cannot continue the stream that was begun`
     }
     this.head = head
     this.isStreaming = isStreaming
     return undefined
   }
 
-  /** Returns what is wrong with the bytes, if something is. */
+  /** Returns what is wrong with the bytes; undefined where nothing is. */
   push (bytes: Buffer): string | undefined {
     if (!this.isStreaming) {
-      this.hold(bytes)
+      this.buffer(bytes)
       return undefined
     }
     const events = this.splitter.push(bytes)
@@ -79,25 +79,25 @@
     }
     for (const { bytes: event, id } of events) {
       if (isRepeated(id, this.lastEventId)) {
-        return `event ${id} after ${this.lastEventId}`
+        return `event ${id} arrived after event ${this.lastEventId}`
       }
       this.beginAnswer()
       this.write(event)
       this.lastEventId = id === '' ? this.lastEventId : id
     }
-    return this.splitter.isOverfull ? 'an event without end' : undefined
+    return this.splitter.isOverfull ? 'an event is too large' : undefined
   }
 
   /**
-   * The bytes that came are all. Returns why they are not a whole answer, if
-   * they are not: without a length, a server that crashes in the middle of an
-   * event looks like one that has finished.
+   * Checks an answer after its last byte. Returns why it is truncated; undefined
+   * where it is complete. Without a content length, a server that crashes in
+   * the middle of an event looks like one that has finished.
    */
-  checkWhole (): string | undefined {
-    return this.isStreaming && this.head?.isFramed === false && this.splitter.rest.length > 0 ? 'cut in the middle of an event' : undefined
+  findTruncation (): string | undefined {
+    return this.isStreaming && this.head?.isFramed === false && this.splitter.rest.length > 0 ? 'ended in the middle of an event' : undefined
   }
 
-  /** The answer is whole. */
+  /** Sends the rest of a complete answer. */
   end (): void {
     const { head, answer } = this
     if (!head) {
@@ -114,16 +114,16 @@
     }
   }
 
-  private hold (bytes: Buffer): void {
+  private buffer (bytes: Buffer): void {
     if (this.answer.hasBegun) {
       this.write(bytes)
       return
     }
-    this.held.push(bytes)
-    this.heldBytes += bytes.length
-    if (this.heldBytes > MOST_HELD_BYTES && this.head) {
+    this.buffered.push(bytes)
+    this.bufferedBytes += bytes.length
+    if (this.bufferedBytes > MAX_BUFFERED_BYTES && this.head) {
       this.answer.begin(this.head.status, this.head.headers)
-      this.held.splice(0).forEach(chunk => this.write(chunk))
+      this.buffered.splice(0).forEach(chunk => this.write(chunk))
     }
   }
 
@@ -136,12 +136,12 @@
 
   private write (bytes: Buffer): void {
     if (bytes.length > 0 && !this.answer.write(bytes)) {
-      this.listener.onFull()
+      this.listener.onBackpressure()
     }
   }
 }
 
-/** Ids of one stream rise; one that does not is of another run, or comes twice. */
+/** Event ids of a stream increase. An id that does not is a duplicate or comes from another run of the request. */
 function isRepeated (id: string, last: string): boolean {
   if (id === '' || last === '') {
     return false
--- /dev/null
+++ b/packages/foxtaillever-relay/src/exchange/attemptPlacement.ts
@@ -0,0 +1,89 @@
+/**
+ * Finds the backend server for the next attempt of an exchange: queries the load
+ * where that helps, chooses a server, and counts the attempt against the rate
+ * limit that the server stated. A server at its limit is skipped for the next
+ * best one.
+ */
+import { FailureCode } from 'foxtaillever-core'
+import { LimitAdmission } from '../limits/serverLimits.js'
+import type { Exchange } from '../model/exchange.js'
+import type { KnownServer } from '../servers/knownServer.js'
+import type { AskedServers } from '../servers/serverChoice.js'
+import type { AttemptLedger } from './attemptLedger.js'
+import type { ExchangeContext } from './exchangeContext.js'
+import { runAfter } from './runAfter.js'
+
+export interface AttemptPlacementOptions {
+  readonly context: ExchangeContext
+  readonly exchange: Exchange
+  readonly ledger: AttemptLedger
+  /** Whether the exchange has ended. */
+  readonly isOver: () => boolean
+  readonly onPlaced: (server: KnownServer) => void
+  /** @param retryAt when the caller may retry, milliseconds of Unix time; undefined where the code determines it. */
+  readonly onFailed: (code: FailureCode, message: string, retryAt?: number) => void
+}
+
+export class AttemptPlacement {
+  /** The server against whose rate limit the current attempt counts. */
+  private countedServer: KnownServer | undefined
+
+  private constructor (private readonly options: AttemptPlacementOptions) {}
+
+  static create (options: AttemptPlacementOptions): AttemptPlacement {
+    return new AttemptPlacement(options)
+  }
+
+  placeNext (): void {
+    const { context, exchange, ledger, isOver } = this.options
+    runAfter(context.queryLoad(exchange, ledger), queriedServers => {
+      if (!isOver()) {
+        this.place(queriedServers)
+      }
+    })
+  }
+
+  /** Stops counting an attempt that did not reach its server. */
+  releaseLimit (): void {
+    const server = this.countedServer
+    this.countedServer = undefined
+    if (server) {
+      this.options.context.limits.giveBack(server)
+    }
+  }
+
+  private place (queriedServers: AskedServers | undefined): void {
+    const { context, exchange, ledger } = this.options
+    const server = context.place(exchange, ledger, queriedServers)
+    if (server) {
+      context.limits.admit(server, exchange, admission => this.onAdmission(server, admission, queriedServers))
+      return
+    }
+    const earliestRetryAt = context.earliestRetryAt(exchange.service)
+    if (earliestRetryAt === undefined) {
+      this.fail(FailureCode.NoBackendServer, 'No backend server can take the request now.')
+    } else {
+      this.fail(FailureCode.Overloaded, 'All backend servers rest or are at the limits that they stated.', earliestRetryAt)
+    }
+  }
+
+  private onAdmission (server: KnownServer, admission: LimitAdmission, queriedServers: AskedServers | undefined): void {
+    const { context, exchange, ledger, isOver, onPlaced } = this.options
+    this.countedServer = admission === LimitAdmission.Counted ? server : undefined
+    if (isOver()) {
+      this.releaseLimit()
+    } else if (admission === LimitAdmission.Refused) {
+      this.place(queriedServers)
+    } else if (ledger.arrivals > 0 && !context.retries.take(exchange.service, context.clock.now())) {
+      this.releaseLimit()
+      this.fail(FailureCode.Overloaded, 'The retry budget is used up.')
+    } else {
+      onPlaced(server)
+    }
+  }
+
+  /** Fails with the code of an earlier attempt that ran, if any: it says more than that no server is left. */
+  private fail (code: FailureCode, message: string, retryAt?: number): void {
+    this.options.onFailed(this.options.ledger.ranCode ?? code, message, retryAt)
+  }
+}
--- a/packages/foxtaillever-relay/src/exchange/beginAttempt.ts
+++ b/packages/foxtaillever-relay/src/exchange/beginAttempt.ts
@@ -1,11 +1,11 @@
-/** Begins a try of an exchange at the backend server that was chosen for it. */
+/** Begins an attempt of an exchange at the backend server that was chosen for it. */
 import { Attempt, type AttemptListener } from '../attempts/attempt.js'
 import { isRepeatable, type Exchange } from '../model/exchange.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import type { ExchangeContext } from './exchangeContext.js'
 
 /**
- * @param headers names and values in turn.
+ * @param headers alternating names and values.
  * @param beganAt milliseconds of Unix time.
  */
 export function beginAttempt (context: ExchangeContext, exchange: Exchange, server: KnownServer, headers: readonly string[], beganAt: number, listener: AttemptListener): Attempt {
--- a/packages/foxtaillever-relay/src/exchange/callerAnswer.ts
+++ b/packages/foxtaillever-relay/src/exchange/callerAnswer.ts
@@ -1,21 +1,21 @@
 /**
- * The caller's side of one exchange: writes the answer, once, and notices when
- * the caller has gone or reads too slowly.
+ * The caller's side of one exchange: writes exactly one answer, and detects when
+ * the caller disconnects or reads too slowly.
  */
 import type { ServerResponse } from 'node:http'
 import type { Failure } from 'foxtaillever-core'
 
 export interface CallerAnswerListener {
-  /** The caller closed its connection before the answer was whole. */
+  /** The caller closed its connection before the answer was complete. */
   readonly onGone: () => void
-  /** The caller reads again. */
+  /** The write buffer is empty; writing may continue. */
   readonly onDrained: () => void
 }
 
-/** Statuses whose answers have no body and say no length. */
-const bodiless = new Set([204, 304])
+/** Statuses whose answers have neither a body nor a content length. */
+const bodilessStatuses = new Set([204, 304])
 
-function saysLength (headers: readonly string[]): boolean {
+function hasContentLength (headers: readonly string[]): boolean {
   return headers.some((text, index) => index % 2 === 0 && text.toLowerCase() === 'content-length')
 }
 
@@ -24,7 +24,7 @@
 
   private constructor (private readonly response: ServerResponse, private readonly refuse: (failure: Failure) => void) {}
 
-  /** @param refuse writes a failure as the callers' protocol says, when nothing of an answer was written. */
+  /** @param refuse writes a failure in the callers' protocol; called only when nothing of an answer was written. */
   static create (response: ServerResponse, refuse: (failure: Failure) => void): CallerAnswer {
     return new CallerAnswer(response, refuse)
   }
@@ -33,7 +33,7 @@
     return this.response.headersSent
   }
 
-  /** The caller closed its connection while its request was read. */
+  /** Whether the caller closed its connection while its request was read. */
   get isGone (): boolean {
     return this.response.destroyed
   }
@@ -48,31 +48,31 @@
     this.response.on('drain', onDrained)
   }
 
-  /** Begins an answer that is passed on as it arrives. */
+  /** Begins an answer that is forwarded as it arrives. */
   begin (status: number, headers: readonly string[]): void {
     this.response.writeHead(status, headers as string[])
   }
 
-  /** Returns whether more may be written at once. */
+  /** Returns false when the caller has to drain the write buffer first. */
   write (bytes: Buffer): boolean {
     return this.response.write(bytes)
   }
 
-  /** The answer that was begun is whole. */
+  /** Completes the answer that was begun. */
   end (): void {
     this.isOver = true
     this.response.end()
   }
 
-  /** Sends a whole answer. */
+  /** Sends a complete answer. */
   send (status: number, headers: readonly string[], body: Buffer): void {
     this.isOver = true
-    const saysNone = bodiless.has(status) || this.response.req.method === 'HEAD' || saysLength(headers)
-    this.response.writeHead(status, saysNone ? headers as string[] : [...headers, 'Content-Length', String(body.length)])
+    const omitsLength = bodilessStatuses.has(status) || this.response.req.method === 'HEAD' || hasContentLength(headers)
+    this.response.writeHead(status, omitsLength ? headers as string[] : [...headers, 'Content-Length', String(body.length)])
     this.response.end(body)
   }
 
-  /** Ends with a failure; an answer that was begun is broken off, so that it does not look complete. */
+  /** Ends with a failure. An answer that was begun is cut by closing the connection, so that it does not look complete. */
   fail (failure: Failure): void {
     this.isOver = true
     if (this.hasBegun) {
--- a/packages/foxtaillever-relay/src/exchange/crashSuspects.ts
+++ b/packages/foxtaillever-relay/src/exchange/crashSuspects.ts
@@ -1,31 +1,32 @@
 /**
- * Requests that crash the backend servers that run them. One that does comes
- * again through any instance, under a new id, and takes a server with it each
- * time. What it is known by is what stays the same: path, account and body. The
- * losses of servers that ran it are told to all instances with their beats, and
- * at the third it is refused everywhere before it is sent.
+ * Detects requests that crash the backend servers that run them. The caller
+ * retries such a request through any instance, under a new id, and each retry
+ * crashes another server. It is recognized by a digest of what stays the same:
+ * method, path, account and body. Heartbeats announce the servers lost while
+ * they ran it to all instances, and after the third loss every instance refuses
+ * it before it is sent.
  */
 import { createHash } from 'node:crypto'
 import { SuspectTable, Suspicion, type SuspectFact } from 'foxtaillever-policy/suspects/suspectTable'
 import type { Exchange } from '../model/exchange.js'
 
-/** Servers that a request may crash: one may crash by itself, two by chance. */
+/** Lost servers after which a request is refused: one may have crashed for another reason, two by coincidence. */
 const CRASHES_TO_REFUSE = 3
 
-/** Facts in one datagram, some 100 bytes each; those of most crashes go first. */
-const MOST_TOLD = 12
+/** Facts in one datagram, about 100 bytes each; those with the most crashes go first. */
+const MAX_ANNOUNCED = 12
 
 /**
- * Places in a datagram for what happened here of late: with a server dozens of
- * requests are lost, one at each instance, and what an instance heard of the
- * others would leave no room for the one that only it knows.
+ * Facts in a datagram that are reserved for recent losses at this instance. A
+ * server that crashes loses dozens of requests, one at each instance, and the
+ * facts received from others would leave no room for those known only here.
  */
-const MOST_OWN_TOLD = 6
+const MAX_OWN_ANNOUNCED = 6
 
-/** What happened here goes first for this long, milliseconds: a beat reaches a third of a large fleet once a second. */
-const OWN_FIRST_MS = 3000
+/** How long this instance's own losses go first, milliseconds: a heartbeat reaches a third of a large fleet once a second. */
+const OWN_FIRST_PERIOD_MS = 3000
 
-/** Hexadecimal digits of a digest; 64 bits tell a day's requests apart. */
+/** Hexadecimal digits of a digest; 64 bits distinguish the requests of a day. */
 const DIGEST_DIGITS = 16
 
 const SEPARATOR = '|'
@@ -33,8 +34,8 @@
 export class CrashSuspects {
   private readonly table = SuspectTable.create(CRASHES_TO_REFUSE)
   private readonly digests = new WeakMap<Exchange, string>()
-  /** When this instance accused a request last, milliseconds of Unix time. */
-  private readonly accusedAt = new Map<string, number>()
+  /** When this instance last recorded a loss for a digest, milliseconds of Unix time. */
+  private readonly lastLossAt = new Map<string, number>()
 
   private constructor () {}
 
@@ -46,49 +47,52 @@
     return this.table.size > 0 && this.table.suspicionOf(this.digestOf(exchange), now) === Suspicion.Quarantined
   }
 
-  /** When a refused request may come back, milliseconds of Unix time. */
+  /** When the caller may retry a refused request, milliseconds of Unix time. */
   refusedUntil (exchange: Exchange): number {
     return this.table.quarantinedUntil(this.digestOf(exchange))
   }
 
-  /** Whether it was lost at more than one server already, so that this instance does not send it again by itself. */
-  isDangerous (exchange: Exchange): boolean {
+  /** Whether the request was already lost at more than one server, so that this instance does not retry it. */
+  wasLostRepeatedly (exchange: Exchange): boolean {
     return this.table.size > 0 && this.table.guiltOf(this.digestOf(exchange)) > 1
   }
 
-  /** The server was lost, or fell silent, while it had the request. */
-  accuse (exchange: Exchange, server: string, now: number): void {
+  /** Records that the server was lost, or stopped answering, while it had the request. */
+  recordLoss (exchange: Exchange, server: string, now: number): void {
     const digest = this.digestOf(exchange)
-    this.accusedAt.set(digest, now)
+    this.lastLossAt.set(digest, now)
     this.table.accuse(digest, server, '', now)
   }
 
-  /** The server answered the request whole, to a try that began then. */
-  acquit (exchange: Exchange, server: string, beganAt: number, now: number): void {
+  /**
+   * Records that the server answered the request completely.
+   * @param beganAt start of the attempt that was answered, milliseconds of Unix time.
+   */
+  clearSuspicion (exchange: Exchange, server: string, beganAt: number, now: number): void {
     if (this.table.size > 0) {
       this.table.clear(this.digestOf(exchange), now)
-      // A restarted server has another id: this one is still the same.
+      // A restarted server has another id, so a server that answers under this id has not crashed.
       this.table.observeIncarnation(server, '', beganAt, now)
     }
   }
 
-  /** What the other instances are to know. */
-  toTell (now: number): string[] {
-    this.accusedAt.forEach((at, digest) => {
-      if (at + OWN_FIRST_MS <= now) {
-        this.accusedAt.delete(digest)
+  /** The facts that the next heartbeat announces to other instances. */
+  factsToAnnounce (now: number): string[] {
+    this.lastLossAt.forEach((at, digest) => {
+      if (at + OWN_FIRST_PERIOD_MS <= now) {
+        this.lastLossAt.delete(digest)
       }
     })
-    const own = [...this.accusedAt.keys()].flatMap(digest => this.table.factOf(digest, now) ?? []).sort(byGuilt).slice(0, MOST_OWN_TOLD)
-    const others = this.table.toShare(now).filter(fact => !own.includes(fact)).sort(byGuilt)
+    const own = [...this.lastLossAt.keys()].flatMap(digest => this.table.factOf(digest, now) ?? []).sort(byUnclearedCrashes).slice(0, MAX_OWN_ANNOUNCED)
+    const others = this.table.toShare(now).filter(fact => !own.includes(fact)).sort(byUnclearedCrashes)
     return [...own, ...others]
-      .slice(0, MOST_TOLD)
+      .slice(0, MAX_ANNOUNCED)
       .map(({ fingerprint, crashes, cleared, expiresAt }) => [fingerprint, crashes.join(), cleared.join(), Math.ceil(expiresAt - now)].join(SEPARATOR))
   }
 
-  /** What another instance tells. */
-  hear (told: readonly string[], now: number): void {
-    this.table.observe(told.flatMap(text => readFact(text, now)), now)
+  /** Applies the facts that another instance announced. */
+  receiveFacts (facts: readonly string[], now: number): void {
+    this.table.observe(facts.flatMap(text => readFact(text, now)), now)
   }
 
   private digestOf (exchange: Exchange): string {
@@ -103,15 +107,15 @@
   }
 }
 
-function guiltOf ({ crashes, cleared }: SuspectFact): number {
+function unclearedCrashes ({ crashes, cleared }: SuspectFact): number {
   return crashes.filter(crash => !cleared.includes(crash)).length
 }
 
-function byGuilt (one: SuspectFact, other: SuspectFact): number {
-  return guiltOf(other) - guiltOf(one)
+function byUnclearedCrashes (a: SuspectFact, b: SuspectFact): number {
+  return unclearedCrashes(b) - unclearedCrashes(a)
 }
 
-/** Clocks of instances differ, so what is told is how long a fact holds. */
+/** Parses a fact. The clocks of instances differ, so a fact states its remaining lifetime instead of its expiry. */
 function readFact (text: unknown, now: number): SuspectFact[] {
   const [fingerprint = '', crashes = '', cleared = '', left = ''] = String(text).split(SEPARATOR)
   const leftMs = Number(left)
--- a/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
@@ -1,4 +1,4 @@
-/** What all exchanges of an instance share. */
+/** What all exchanges of an instance share: configuration, servers, limits and callbacks. */
 import type { Clock, Random } from 'foxtaillever-core'
 import type { RetryShare } from 'foxtaillever-policy/relay/retryShare'
 import type { AttemptFailure } from '../attempts/attemptFailure.js'
@@ -14,10 +14,10 @@
 import type { AccountQuotas } from '../limits/accountQuotas.js'
 import type { ServerLimits } from '../limits/serverLimits.js'
 import type { CrashSuspects } from './crashSuspects.js'
-import type { OpenTry } from './openTry.js'
+import type { InFlightAttempt } from './inFlightAttempt.js'
 
 /** What a run asks and tells about requests that crash servers. */
-export type Suspicions = Pick<CrashSuspects, 'isRefused' | 'refusedUntil' | 'isDangerous' | 'accuse' | 'acquit'>
+export type Suspicions = Pick<CrashSuspects, 'isRefused' | 'refusedUntil' | 'wasLostRepeatedly' | 'recordLoss' | 'clearSuspicion'>
 
 export interface ExchangeContext {
   readonly clock: Clock
@@ -36,18 +36,18 @@
   readonly routing: () => Routing
   /** Prompt tokens that the other instances have at the server, as far as is known. */
   readonly othersTokensAt: (server: KnownServer) => number
-  /** What this instance puts on a server is another. */
+  /** The load that this instance puts on a server has changed. */
   readonly onLoadChanged: () => void
   /** The level of a prompt was saved to its store. */
   readonly onSaved: (level: LevelAtHome) => void
-  /** A server took no connection. */
+  /** A connection to a server could not be opened. */
   readonly onUnreachable: (server: KnownServer) => void
-  /** Asks what the others put on the servers that come into question, and tells which; undefined where it is known. Never fails. */
-  readonly askLoad: (exchange: Exchange, earlier: EarlierTries) => Promise<AskedServers> | undefined
-  /** The server for the next try, other than those that failed it; undefined when there is none. */
-  readonly place: (exchange: Exchange, earlier: EarlierTries, asked: AskedServers | undefined) => KnownServer | undefined
-  /** When a caller may come back where no server of the service takes requests now, milliseconds of Unix time; undefined where none said so. */
-  readonly returnAt: (service: string) => number | undefined
-  /** A server is not what it was thought to be; the failure may name it. */
-  readonly onMisdirected: (tried: OpenTry, exchange: Exchange, failure: AttemptFailure) => void
+  /** Queries the load that other instances put on the candidate servers, and resolves to the servers it queried; undefined where the load is known. Never rejects. */
+  readonly queryLoad: (exchange: Exchange, earlier: EarlierTries) => Promise<AskedServers> | undefined
+  /** Chooses the server for the next attempt among those that have not failed it; undefined when there is none. */
+  readonly place: (exchange: Exchange, earlier: EarlierTries, queriedServers: AskedServers | undefined) => KnownServer | undefined
+  /** When a caller may retry while no server of the service takes requests, milliseconds of Unix time; undefined where no server stated it. */
+  readonly earliestRetryAt: (service: string) => number | undefined
+  /** A server has another id or other weights than expected; the failure may name its id. */
+  readonly onMisdirected: (inFlight: InFlightAttempt, exchange: Exchange, failure: AttemptFailure) => void
 }
--- a/packages/foxtaillever-relay/src/exchange/exchangeDesk.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
@@ -1,8 +1,7 @@
 /**
- * What carries exchanges from callers to backend servers: the servers, the
- * choice among them, the tries with their budget, and the runs. It knows neither
- * where servers and routes are learned from nor what other instances tell; both
- * come in by the options.
+ * Carries exchanges from callers to backend servers: the directory of servers,
+ * the choice among them, the retry budget and the runs in progress. Routes, and
+ * what other instances report, come in through the options.
  */
 import type { Clock, Random } from 'foxtaillever-core'
 import { RetryShare, type RetryAllowance } from 'foxtaillever-policy/relay/retryShare'
@@ -24,22 +23,22 @@
 import type { ExchangeContext } from './exchangeContext.js'
 import { ExchangeRuns } from './exchangeRuns.js'
 
-/** Whoever is about to send a prompt asks its watchers again; their word serves this one choice, milliseconds. */
-const HEARD_MS = 50
+/** How long a reported backoff counts, milliseconds: it serves one choice only, because watchers are queried again before each prompt. */
+const BACKOFF_REPORT_VALID_MS = 50
 
-export interface ExchangeDeskOptions extends Pick<ServerChoiceOptions, 'failureDomain' | 'use' | 'weights' | 'weightsBoundMs'>, Pick<ExchangeContext, 'connectTimeoutMs' | 'suspects' | 'quota' | 'onMisdirected' | 'onLoadChanged' | 'onSaved' | 'onUnreachable'>, Omit<CacheUseOptions, 'stores'> {
+export interface ExchangeDispatcherOptions extends Pick<ServerChoiceOptions, 'failureDomain' | 'use' | 'weights' | 'weightsBoundMs'>, Pick<ExchangeContext, 'connectTimeoutMs' | 'suspects' | 'quota' | 'onMisdirected' | 'onLoadChanged' | 'onSaved' | 'onUnreachable'>, Omit<CacheUseOptions, 'stores'> {
   readonly clock: Clock
   readonly random: Random
   readonly wire: ServerWire
   readonly log: RelayLog
   readonly retryAllowance: RetryAllowance
-  /** Asks what other instances know of the servers that a prompt's choice comes down to, and tells which; undefined where it is known. Never fails. */
-  readonly askLoad: (wish: () => LoadWish) => Promise<AskedServers> | undefined
+  /** Queries other instances for the load of the candidate servers of a prompt, and resolves to the servers it queried; undefined where the load is known. Never rejects. */
+  readonly queryLoad: (query: () => LoadWish) => Promise<AskedServers> | undefined
   /** The configuration in force; undefined until one is known. */
   readonly routing: () => Routing | undefined
-  /** A server asked this instance for rest. */
-  readonly onRestAsked: (server: KnownServer) => void
-  /** Decides on limits that servers stated. */
+  /** A server asked this instance to back off, with Retry-After. */
+  readonly onBackoffRequested: (server: KnownServer) => void
+  /** Decides on requests under the limits that servers stated. */
   readonly limitProtocol: ServerLimitsOptions['protocol']
   /** A server stated a limit that all instances must know now. */
   readonly onLimitChanged: () => void
@@ -47,7 +46,7 @@
   readonly onServerChanged: (server: ListedServer) => void
 }
 
-export class ExchangeDesk {
+export class ExchangeDispatcher {
   readonly directory: ServerDirectory
   readonly retries: RetryShare
   readonly caches: CacheUse
@@ -59,8 +58,8 @@
   private instances = 1
   private readonly log: RelayLog
 
-  private constructor (options: ExchangeDeskOptions) {
-    const { clock, random, connectTimeoutMs, wire, log, suspects, quota, askLoad, onLoadChanged, onSaved, onUnreachable, onMisdirected } = options
+  private constructor (options: ExchangeDispatcherOptions) {
+    const { clock, random, connectTimeoutMs, wire, log, suspects, quota, queryLoad, onLoadChanged, onSaved, onUnreachable, onMisdirected } = options
     this.clock = clock
     this.log = log
     this.retries = RetryShare.create(options.retryAllowance, clock.now())
@@ -75,13 +74,13 @@
       }
     })
     this.limits = ServerLimits.create({ clock, log, directory: this.directory, protocol: options.limitProtocol, onUrgent: options.onLimitChanged })
-    this.statements = ServerStatements.create({ clock, log, directory: this.directory, limits: this.limits, onRestAsked: options.onRestAsked })
+    this.statements = ServerStatements.create({ clock, log, directory: this.directory, limits: this.limits, onRestAsked: options.onBackoffRequested })
     const returns = ServiceReturns.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => this.instances })
     const choice = ServerChoice.create({
       ...options,
       directory: this.directory,
       stores: () => this.caches.available(),
-      levelSupply: exchange => levelSupplyOf(exchange, knownRouting(options.routing()), this.caches, clock.now(), this.directory.experience.prefillSpeedOf(exchange.service).tokensPerMs)
+      levelSupply: exchange => levelSupplyOf(exchange, requireRouting(options.routing()), this.caches, clock.now(), this.directory.experience.prefillSpeedOf(exchange.service).tokensPerMs)
     })
     this.runs = ExchangeRuns.create({
       clock,
@@ -95,24 +94,24 @@
       quota,
       limits: this.limits,
       log,
-      routing: () => knownRouting(options.routing()),
+      routing: () => requireRouting(options.routing()),
       othersTokensAt: server => options.use.of(server.hash).tokens,
       onLoadChanged,
       onSaved,
       onUnreachable,
-      askLoad: (exchange, earlier) => exchange.prompt && askLoad(() => ({ servers: choice.shortlist(exchange, earlier), level: this.levelAtHome(exchange, choice.homeOf(exchange)) })),
-      returnAt: service => returns.returnAt(service),
-      place: (exchange, earlier, asked) => choice.place(exchange, earlier, asked),
+      queryLoad: (exchange, earlier) => exchange.prompt && queryLoad(() => ({ servers: choice.shortlist(exchange, earlier), level: this.levelAtHome(exchange, choice.homeOf(exchange)) })),
+      earliestRetryAt: service => returns.returnAt(service),
+      place: (exchange, earlier, queriedServers) => choice.place(exchange, earlier, queriedServers),
       onMisdirected
     })
   }
 
-  static create (options: ExchangeDeskOptions): ExchangeDesk {
-    return new ExchangeDesk(options)
+  static create (options: ExchangeDispatcherOptions): ExchangeDispatcher {
+    return new ExchangeDispatcher(options)
   }
 
-  /** Instances that share the servers' connections and the retry budget. */
-  observeInstances (count: number): void {
+  /** Sets how many instances share the servers' connections and the retry budget. */
+  setInstanceCount (count: number): void {
     this.instances = count
     this.retries.observeInstances(count)
     this.directory.observeInstances(count)
@@ -123,16 +122,16 @@
     return home && level !== undefined ? { level, home: home.hash } : undefined
   }
 
-  /** A server asked other instances for rest; by its hash. */
-  hearResting (hash: number): void {
+  /** Records that a server, given by its hash, asked other instances to back off. */
+  recordBackoff (hash: number): void {
     const server = this.directory.ofHash(hash)
     if (server) {
-      server.restingForOthersUntil = this.clock.now() + HEARD_MS
+      server.restingForOthersUntil = this.clock.now() + BACKOFF_REPORT_VALID_MS
     }
   }
 
-  /** Several instances could not reach a server; by its hash. */
-  hearUnreachable (hash: number): void {
+  /** Records that several instances could not reach a server, given by its hash. */
+  recordUnreachable (hash: number): void {
     const server = this.directory.ofHash(hash)
     const now = this.clock.now()
     if (server && server.absentUntil <= now) {
@@ -144,7 +143,7 @@
   }
 }
 
-function knownRouting (routing: Routing | undefined): Routing {
+function requireRouting (routing: Routing | undefined): Routing {
   if (!routing) {
     throw new Error('An exchange began without a configuration.')
   }
--- a/packages/foxtaillever-relay/src/exchange/exchangeEnd.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeEnd.ts
@@ -1,4 +1,4 @@
-/** What a run came to, for the log. */
+/** How a run ended, for the log. */
 export enum ExchangeEnd {
   Answered = 'answered',
   Failed = 'failed',
--- a/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
@@ -1,7 +1,8 @@
 /**
- * The life of one exchange: placed, tried, answered. It ends in exactly one
- * word to the caller, a whole answer or a failure whose verdict counts all
- * tries, and what may have run is sent again only where that does no harm.
+ * Runs one exchange: places it, makes one or more attempts, and ends in exactly
+ * one reply to the caller. The reply is a complete answer or a failure whose
+ * verdict counts all attempts. A request that may have run is sent again only
+ * where it is repeatable.
  */
 import { atAfterReading, Failure, FailureCode, Verdict, type Cancellation } from 'foxtaillever-core'
 import { comeBackAt } from 'foxtaillever-policy/relay/comeBack'
@@ -10,36 +11,36 @@
 import { heldTokensOf, type Exchange } from '../model/exchange.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import { AnswerRelay } from './answerRelay.js'
+import { AttemptLedger } from './attemptLedger.js'
+import { AttemptPlacement } from './attemptPlacement.js'
 import { beginAttempt } from './beginAttempt.js'
 import type { CallerAnswer } from './callerAnswer.js'
-import { ExchangeEnd } from './exchangeEnd.js'
 import type { ExchangeContext } from './exchangeContext.js'
-import { isBetterGivenUp } from './isBetterGivenUp.js'
-import { observeFailure } from './observeFailure.js'
-import { observeHead } from './observeHead.js'
-import { OpenTry } from './openTry.js'
-import { planTry } from './planTry.js'
+import { ExchangeEnd } from './exchangeEnd.js'
+import { InFlightAttempt } from './inFlightAttempt.js'
+import { planAttempt } from './planAttempt.js'
+import { recordAnswerHead } from './recordAnswerHead.js'
+import { recordAttemptFailure } from './recordAttemptFailure.js'
 import { refusalOf } from './refusalOf.js'
+import { shouldAbandon } from './shouldAbandon.js'
 import { StreamPace } from './streamPace.js'
-import { TryLedger } from './tryLedger.js'
-import { TryPlacement } from './tryPlacement.js'
-import { watchTry } from './watchTry.js'
+import { watchAttempt } from './watchAttempt.js'
 
-/** A server answers at the deadline by itself; this much later the caller gets our word, milliseconds. */
+/** A server answers at the deadline by itself. If it does not, this instance fails the request this much later, milliseconds. */
 const DEADLINE_GRACE_MS = 40
 
 export class ExchangeRun {
-  private current: OpenTry | undefined
-  private readonly ledger: TryLedger
-  private readonly placement: TryPlacement
+  private current: InFlightAttempt | undefined
+  private readonly ledger: AttemptLedger
+  private readonly placement: AttemptPlacement
   private readonly relay: AnswerRelay
   private readonly pace = StreamPace.create()
   private head: AnswerHead | undefined
   private isOver = false
-  /** A server's own failure, passed on when no other try succeeds. */
+  /** A server's own error answer, forwarded when no other attempt succeeds. */
   private fallback: { readonly head: AnswerHead, readonly body: Buffer } | undefined
   private cancelDeadline: Cancellation = () => {}
-  /** It counts among what its client account has used. */
+  /** Whether the request counts against the quota of its client account. */
   private isCounted = false
 
   private constructor (
@@ -48,8 +49,8 @@
     private readonly answer: CallerAnswer,
     private readonly onOver: (verdict: Verdict) => void
   ) {
-    this.ledger = TryLedger.create(exchange)
-    this.placement = TryPlacement.create({
+    this.ledger = AttemptLedger.create(exchange)
+    this.placement = AttemptPlacement.create({
       context,
       exchange,
       ledger: this.ledger,
@@ -59,8 +60,8 @@
     })
     this.relay = AnswerRelay.create(exchange, answer, {
       onFirstEvent: () => context.log.firstEvent(exchange, this.now),
-      onEvents: () => this.pace.observe(this.now),
-      onFull: () => this.current?.attempt.pause()
+      onEvents: () => this.pace.recordChunk(this.now),
+      onBackpressure: () => this.current?.attempt.pause()
     })
   }
 
@@ -72,7 +73,7 @@
     return this.context.clock.now()
   }
 
-  /** Places it and sends it, or refuses it at once. */
+  /** Places and sends the request, or refuses it at once. */
   begin (): void {
     const { exchange, answer, context } = this
     const { clock, retries, suspects } = context
@@ -91,7 +92,7 @@
     context.quota.admit(exchange, refusal => this.onAdmitted(refusal))
   }
 
-  /** The quota of its client account lets it run, or refuses it. */
+  /** Continues after the quota of the client account admitted or refused the request. */
   private onAdmitted (refusal: Failure | undefined): void {
     this.isCounted = refusal === undefined
     if (this.isOver) {
@@ -99,17 +100,17 @@
     } else if (refusal) {
       this.fail(refusal.code, refusal.message, refusal.retryAt)
     } else {
-      this.placement.next()
+      this.placement.placeNext()
     }
   }
 
   private send (server: KnownServer): void {
     const { exchange, context, relay } = this
     const beganAt = this.now
-    this.ledger.begin(server.listed.id)
+    this.ledger.addAttempt(server.listed.id)
     this.head = undefined
     relay.reset()
-    const { terms, othersTokens } = planTry(context, exchange, server, relay.lastEventId)
+    const { terms, othersTokens } = planAttempt(context, exchange, server, relay.lastEventId)
     const headers = context.wire.createHeaders(exchange, terms, beganAt)
     const attempt = beginAttempt(context, exchange, server, headers, beganAt, {
       onHead: head => this.onHead(head),
@@ -117,21 +118,21 @@
       onEnd: () => this.onEnd(),
       onFailed: failure => this.onFailed(failure)
     })
-    const watch = watchTry(context, exchange, beganAt, () => this.onSilent())
-    this.current = OpenTry.open({ attempt, server, beganAt, terms, heldTokens: heldTokensOf(exchange), othersTokens, watch, context })
+    const watch = watchAttempt(context, exchange, beganAt, () => this.onSilent())
+    this.current = InFlightAttempt.open({ attempt, server, beganAt, terms, heldTokens: heldTokensOf(exchange), othersTokens, watch, context })
   }
 
   private onHead (head: AnswerHead): void {
     const { exchange, context, current } = this
     if (current) {
-      observeHead(context, exchange, current, head)
+      recordAnswerHead(context, exchange, current, head)
     }
     this.head = head
     this.rejectIf(this.relay.begin(head))
   }
 
   private onData (bytes: Buffer): void {
-    this.current?.hear()
+    this.current?.recordActivity()
     this.rejectIf(this.relay.push(bytes))
   }
 
@@ -143,70 +144,71 @@
 
   private onEnd (): void {
     const { head, answer, current, context, exchange, relay } = this
-    const cut = relay.checkWhole()
-    if (!head || cut !== undefined) {
-      this.onFailed({ kind: AttemptFailureKind.Lost, detail: cut ?? 'no answer' })
+    const truncation = relay.findTruncation()
+    if (!head || truncation !== undefined) {
+      this.onFailed({ kind: AttemptFailureKind.Lost, detail: truncation ?? 'no answer' })
       return
     }
-    const server = this.settle()
+    const server = this.closeCurrent()
     if (head.status >= 500 && !answer.hasBegun) {
       this.onServerError(head, relay.body, server)
       return
     }
     if (server && current) {
       context.directory.experience.observeSuccess(server, exchange.route.name, head.at - current.beganAt, this.now)
-      context.suspects.acquit(exchange, server.listed.id, current.beganAt, this.now)
+      context.suspects.clearSuspicion(exchange, server.listed.id, current.beganAt, this.now)
     }
     relay.end()
     this.finish(ExchangeEnd.Answered, String(head.status))
   }
 
-  /** The server ran the request and failed; its answer is passed on unless another try may do better. */
+  /** The server ran the request and failed. Its answer is forwarded unless another attempt is allowed. */
   private onServerError (head: AnswerHead, body: Buffer, server: KnownServer | undefined): void {
     this.fallback = { head, body }
-    this.observeFailure({ kind: AttemptFailureKind.ServerError, detail: `status ${head.status}` }, server)
-    if (this.mayTryAgain()) {
-      this.placement.next()
+    this.recordFailure({ kind: AttemptFailureKind.ServerError, detail: `status ${head.status}` }, server)
+    if (this.mayRetry()) {
+      this.placement.placeNext()
       return
     }
-    this.passOn(head, body)
+    this.forwardAnswer(head, body)
   }
 
-  private passOn (head: AnswerHead, body: Buffer): void {
+  private forwardAnswer (head: AnswerHead, body: Buffer): void {
     this.answer.send(head.status, head.headers, body)
     this.finish(ExchangeEnd.Answered, String(head.status))
   }
 
   private onFailed (failure: AttemptFailure): void {
     const { kind } = failure
-    const tried = this.current
-    const server = this.settle()
-    this.observeFailure(failure, server)
+    const inFlight = this.current
+    const server = this.closeCurrent()
+    this.recordFailure(failure, server)
     if (!meaningOf[kind].isArrival) {
-      this.placement.giveBack()
+      this.placement.releaseLimit()
     }
-    if (tried && kind === AttemptFailureKind.Misdirected) {
-      this.context.onMisdirected(tried, this.exchange, failure)
+    if (inFlight && kind === AttemptFailureKind.Misdirected) {
+      this.context.onMisdirected(inFlight, this.exchange, failure)
     }
-    if (this.mayTryAgain()) {
-      this.placement.next()
+    if (this.mayRetry()) {
+      this.placement.placeNext()
       return
     }
     this.fail(meaningOf[kind].code, 'The request could not be completed.')
   }
 
-  private observeFailure (failure: AttemptFailure, server: KnownServer | undefined): void {
-    this.ledger.observe(server?.listed.id ?? '', failure.kind, this.answer.hasBegun)
-    observeFailure(this.context, this.exchange, server, failure)
+  private recordFailure (failure: AttemptFailure, server: KnownServer | undefined): void {
+    this.ledger.recordFailure(server?.listed.id ?? '', failure.kind, this.answer.hasBegun)
+    recordAttemptFailure(this.context, this.exchange, server, failure)
   }
 
-  private mayTryAgain (): boolean {
-    return !this.isOver && this.relay.canContinue && this.ledger.mayTryAgain(this.now) && !this.context.suspects.isDangerous(this.exchange)
+  private mayRetry (): boolean {
+    return !this.isOver && this.relay.canContinue && this.ledger.mayRetry(this.now) && !this.context.suspects.wasLostRepeatedly(this.exchange)
   }
 
   /**
-   * The server has said nothing for too long. Another one gets what may run
-   * twice; all else waits for its deadline, because it may yet be answered.
+   * The server has sent nothing for too long. A repeatable request may be
+   * retried at another server; any other waits for its deadline, because it may
+   * still be answered.
    */
   private onSilent (): void {
     const { current, context, exchange, relay, ledger, answer } = this
@@ -215,9 +217,9 @@
     }
     const { attempt, server } = current
     context.log.silent(exchange, current.serverId, attempt.isOnReusedConnection)
-    // Connections of one age tend to go silent together; the server itself may be well.
+    // Connections of the same age tend to go silent together; the server itself may be healthy.
     server.connections.closeIdle()
-    if (isBetterGivenUp(context, exchange, { current, ledger, canContinue: relay.canContinue, hasBegun: answer.hasBegun })) {
+    if (shouldAbandon(context, exchange, { current, ledger, canContinue: relay.canContinue, hasBegun: answer.hasBegun })) {
       attempt.timeOut()
     } else if (!attempt.isOnReusedConnection) {
       context.directory.experience.observeFault(server, this.now)
@@ -226,7 +228,7 @@
 
   private onGone (): void {
     if (!this.isOver) {
-      this.ledger.observeCut(this.current?.attempt.mayHaveArrived === true)
+      this.ledger.recordInterruption(this.current?.attempt.mayHaveArrived === true)
       this.cancelCurrent()
       this.finish(ExchangeEnd.CallerGone, '')
     }
@@ -234,23 +236,23 @@
 
   private onDeadline (): void {
     if (!this.isOver) {
-      this.cut(FailureCode.DeadlinePassed, 'The deadline passed before the answer was complete.')
+      this.interrupt(FailureCode.DeadlinePassed, 'The deadline passed before the answer was complete.')
     }
   }
 
-  /** Ends all that is left at a shutdown whose time is up. */
+  /** Fails the exchange when the time of a graceful shutdown is up. */
   abort (): void {
     if (!this.isOver) {
-      this.cut(FailureCode.Leaving, 'This instance shut down before the answer was complete.')
+      this.interrupt(FailureCode.Leaving, 'This instance shut down before the answer was complete.')
     }
   }
 
-  private cut (code: FailureCode, message: string): void {
+  private interrupt (code: FailureCode, message: string): void {
     const { current, exchange, context } = this
     const mayHaveArrived = current?.attempt.mayHaveArrived === true
-    this.ledger.observeCut(mayHaveArrived)
+    this.ledger.recordInterruption(mayHaveArrived)
     if (current && mayHaveArrived && !this.head && code === FailureCode.DeadlinePassed) {
-      context.suspects.accuse(exchange, current.serverId, this.now)
+      context.suspects.recordLoss(exchange, current.serverId, this.now)
     }
     this.cancelCurrent()
     this.fail(code, message)
@@ -258,7 +260,7 @@
 
   private fail (code: FailureCode, message: string, retryAt = comeBackAt(code, this.now)): void {
     if (this.fallback && !this.answer.hasBegun) {
-      this.passOn(this.fallback.head, this.fallback.body)
+      this.forwardAnswer(this.fallback.head, this.fallback.body)
       return
     }
     const { verdict } = this.ledger
@@ -268,18 +270,18 @@
 
   private cancelCurrent (): void {
     this.current?.attempt.cancel()
-    this.settle()
+    this.closeCurrent()
   }
 
-  /** The current try is over; its server is free of it. */
-  private settle (): KnownServer | undefined {
+  /** Closes the current attempt and returns its server. */
+  private closeCurrent (): KnownServer | undefined {
     const { current } = this
     this.current = undefined
     current?.close()
     return current?.server
   }
 
-  /** What has not run is not used. */
+  /** Gives the quota back where the request has not run. */
   private returnQuota (end: ExchangeEnd): void {
     if (this.isCounted && end !== ExchangeEnd.Answered && this.ledger.verdict === Verdict.NotRun) {
       this.context.quota.giveBack(this.exchange)
@@ -291,7 +293,7 @@
     this.isOver = true
     this.cancelDeadline()
     const { exchange, ledger, now } = this
-    this.context.log.ended({ exchange, end, outcome, verdict: ledger.verdict, servers: ledger.tried, pace: this.pace.since(exchange.arrivedAt), now, reason })
+    this.context.log.ended({ exchange, end, outcome, verdict: ledger.verdict, servers: ledger.attemptedServers, pace: this.pace.measureSince(exchange.arrivedAt), now, reason })
     this.returnQuota(end)
     this.onOver(end === ExchangeEnd.Answered ? Verdict.Ran : ledger.verdict)
   }
--- a/packages/foxtaillever-relay/src/exchange/exchangeRuns.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeRuns.ts
@@ -1,4 +1,4 @@
-/** The exchanges of an instance that are not over, so that a shutdown can wait for them. */
+/** The running exchanges of an instance, so that a shutdown can wait for them. */
 import type { Verdict } from 'foxtaillever-core'
 import type { Exchange } from '../model/exchange.js'
 import type { CallerAnswer } from './callerAnswer.js'
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Takes over an exchange; one that is refused at once is over before this returns.
-   * @param onOver is told whether the request may have run.
+   * Starts an exchange. One that is refused at once ends before this returns.
+   * @param onOver receives the verdict: whether the request may have run.
    */
   start (exchange: Exchange, answer: CallerAnswer, onOver: (verdict: Verdict) => void = () => {}): void {
     const run = ExchangeRun.create(this.context, exchange, answer, verdict => {
@@ -31,7 +31,7 @@
     run.begin()
   }
 
-  /** Ends all that is left at a shutdown whose time is up. */
+  /** Fails the remaining exchanges when the time of a graceful shutdown is up. */
   abort (): void {
     this.runs.forEach(run => run.abort())
   }
--- a/packages/foxtaillever-relay/src/exchange/openTry.ts
+++ b/packages/foxtaillever-relay/src/exchange/inFlightAttempt.ts
@@ -1,4 +1,4 @@
-/** A try on its way: the load that it puts on its backend server is counted until it is closed, once. */
+/** An attempt in flight. The load that it puts on its backend server counts until it is closed, which happens once. */
 import type { Attempt } from '../attempts/attempt.js'
 import type { Transfer } from '../cache/fetchLoad.js'
 import type { SendTerms } from '../model/wire.js'
@@ -6,13 +6,13 @@
 import type { ExchangeContext } from './exchangeContext.js'
 import type { SilenceWatch } from './silenceWatch.js'
 
-export interface OpenTryOptions {
+export interface InFlightAttemptOptions {
   readonly attempt: Attempt
   readonly server: KnownServer
   readonly terms: SendTerms
-  /** Tokens of the server's memory that it takes until its end. */
+  /** Tokens of the server's KV cache that the attempt occupies until it ends. */
   readonly heldTokens: number
-  /** Prompt tokens of the other instances that the server has yet to read. */
+  /** Prompt tokens from other instances that the server has yet to read. */
   readonly othersTokens: number
   /** Milliseconds of Unix time. */
   readonly beganAt: number
@@ -20,22 +20,22 @@
   readonly context: Pick<ExchangeContext, 'caches' | 'onSaved' | 'onLoadChanged'>
 }
 
-export class OpenTry {
+export class InFlightAttempt {
   readonly attempt: Attempt
   readonly server: KnownServer
   readonly beganAt: number
-  /** Prompt tokens that the server has yet to read. */
+  /** Prompt tokens of this attempt that the server has yet to read. */
   private unreadTokens: number
-  /** Those before it and its own when it was sent. */
+  /** Prompt tokens that the server had to read when the attempt was sent, its own included. */
   readonly tokensToRead: number
   private fetch: Transfer | undefined
 
-  private constructor (private readonly options: OpenTryOptions) {
+  private constructor (private readonly options: InFlightAttemptOptions) {
     const { attempt, server, terms, beganAt, heldTokens } = options
     this.attempt = attempt
     this.server = server
     this.beganAt = beganAt
-    // Nobody else waits for a prompt that yields. Counted, those that gather under overload would make all others yield too.
+    // No other request waits behind a prompt that yields. If yielding prompts counted, those that pile up under overload would make all others yield too.
     this.unreadTokens = terms.isYielding ? 0 : terms.unreadTokens
     server.outstanding += 1
     server.stated.observeSent(beganAt)
@@ -46,72 +46,72 @@
     options.context.onLoadChanged()
   }
 
-  static open (options: OpenTryOptions): OpenTry {
-    return new OpenTry(options)
+  static open (options: InFlightAttemptOptions): InFlightAttempt {
+    return new InFlightAttempt(options)
   }
 
   get serverId (): string {
     return this.server.listed.id
   }
 
-  /** Weights that the server was thought to have; undefined for requests without a prompt. */
+  /** Weights version that the server was expected to have; undefined for requests without a prompt. */
   get expectedWeights (): number | undefined {
     return this.options.terms.weightsVersion
   }
 
-  /** Requests that can still be in time go before it. */
+  /** Whether requests that can still be in time go first. */
   get isYielding (): boolean {
     return this.options.terms.isYielding
   }
 
-  /** The answer has begun. */
-  begin (): void {
+  /** Records that the answer has begun. */
+  markBegun (): void {
     const { server, beganAt } = this
     server.newestBegun = Math.max(server.newestBegun, beganAt)
   }
 
   /**
-   * Whether answers to requests that were sent later have begun. An engine that
-   * reads large prompts or loads weights may be silent for long and well; one
-   * that passes a request over has lost it.
+   * Whether the server has begun answers to requests that were sent later. A
+   * healthy engine may be silent for long while it reads large prompts or loads
+   * weights; one that answers later requests first has lost this one.
    */
   get isOvertaken (): boolean {
     return this.server.newestBegun > this.beganAt
   }
 
-  /** Whether the server changed its weights meanwhile, which explains a silence. */
+  /** Whether the server changed its weights during the attempt, which explains a silence. */
   get isChanging (): boolean {
     return this.server.changingUntil > this.beganAt
   }
 
-  hear (): void {
-    this.options.watch.hear()
+  recordActivity (): void {
+    this.options.watch.recordActivity()
   }
 
-  /** An answer begins with this status; with it, the server has read the prompt. */
-  observeStatus (status: number, now: number): void {
+  /** Records the status with which an answer begins. By then the server has read the prompt. */
+  recordStatus (status: number, now: number): void {
     const { terms, server, context } = this.options
-    this.release()
+    this.releaseUnreadPrompt()
     if (terms.savedLevel !== undefined && status < 300) {
       context.caches.savedLevels.confirm(terms.savedLevel, now)
       context.onSaved({ level: terms.savedLevel, home: server.hash })
     }
   }
 
-  /** The server is free of it. */
+  /** Stops counting the attempt against its server. */
   close (): void {
     const { server, terms, context, watch, heldTokens } = this.options
     watch.stop()
     server.outstanding -= 1
     server.heldTokens -= heldTokens
-    this.release()
+    this.releaseUnreadPrompt()
     if (terms.savedLevel !== undefined) {
       context.caches.savedLevels.giveBack(terms.savedLevel)
     }
   }
 
-  /** Nothing of the prompt is left to read. */
-  private release (): void {
+  /** Stops counting the prompt as unread. */
+  private releaseUnreadPrompt (): void {
     this.server.unreadTokens -= this.unreadTokens
     this.unreadTokens = 0
     const { caches, onLoadChanged } = this.options.context
--- a/packages/foxtaillever-relay/src/exchange/planTry.ts
+++ b/packages/foxtaillever-relay/src/exchange/planAttempt.ts
@@ -1,17 +1,17 @@
-/** Plans the next try of an exchange at a server, by what is known to wait there. */
+/** Plans the next attempt of an exchange at a server, based on the load known to wait there. */
 import { expectedStart, planTerms } from '../attempts/planTerms.js'
 import type { Exchange } from '../model/exchange.js'
 import type { SendTerms } from '../model/wire.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import type { ExchangeContext } from './exchangeContext.js'
 
-export interface PlannedTry {
+export interface PlannedAttempt {
   readonly terms: SendTerms
-  /** Prompt tokens of the other instances that the server has yet to read. */
+  /** Prompt tokens from other instances that the server has yet to read. */
   readonly othersTokens: number
 }
 
-export function planTry (context: ExchangeContext, exchange: Exchange, server: KnownServer, resumeAfter: string): PlannedTry {
+export function planAttempt (context: ExchangeContext, exchange: Exchange, server: KnownServer, resumeAfter: string): PlannedAttempt {
   const { clock, caches, directory, log, othersTokensAt, routing } = context
   const othersTokens = othersTokensAt(server)
   const { tokensPerMs } = directory.experience.prefillSpeedOf(exchange.service)
--- a/packages/foxtaillever-relay/src/exchange/observeFailure.ts
+++ b/packages/foxtaillever-relay/src/exchange/recordAttemptFailure.ts
@@ -1,10 +1,10 @@
-/** What an instance learns from a try that failed, beside what its exchange makes of it. */
+/** Records what a failed attempt shows about its server, for all exchanges of the instance. */
 import { AttemptFailureKind, meaningOf, mayBeCrash, mayBeStaleConnection, type AttemptFailure } from '../attempts/attemptFailure.js'
 import type { Exchange } from '../model/exchange.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import type { ExchangeContext } from './exchangeContext.js'
 
-export function observeFailure ({ clock, log, directory, suspects, onUnreachable }: ExchangeContext, exchange: Exchange, server: KnownServer | undefined, failure: AttemptFailure): void {
+export function recordAttemptFailure ({ clock, log, directory, suspects, onUnreachable }: ExchangeContext, exchange: Exchange, server: KnownServer | undefined, failure: AttemptFailure): void {
   const { verdict, isServerFault: isServersFault } = meaningOf[failure.kind]
   const now = clock.now()
   const id = server?.listed.id ?? ''
@@ -20,13 +20,13 @@
     directory.experience.observeDisplaced(server, now)
   }
   if (server && failure.kind === AttemptFailureKind.Refused) {
-    // It is full, or about to change its weights.
+    // The server is full, or about to change its weights.
     server.refusedAt = now
   }
   if (mayBeStaleConnection(failure)) {
     directory.experience.distrustKept(exchange.service, now)
   }
   if (mayBeCrash(failure.kind)) {
-    suspects.accuse(exchange, id, now)
+    suspects.recordLoss(exchange, id, now)
   }
 }
--- a/packages/foxtaillever-relay/src/exchange/silenceWatch.ts
+++ b/packages/foxtaillever-relay/src/exchange/silenceWatch.ts
@@ -1,13 +1,13 @@
-/** Notices that a backend server has been silent for too long, with one timer that follows the last word heard. */
+/** Detects that a backend server has been silent for too long, with a single timer that is extended when data arrives. */
 import { atAfterReading, type Cancellation, type Clock } from 'foxtaillever-core'
 
 export interface SilenceWatchOptions {
   readonly clock: Clock
-  /** Until when the first word is awaited, milliseconds of Unix time. */
+  /** When the wait for the first data ends, milliseconds of Unix time. */
   readonly firstUntil: number
-  /** Until when the next word is awaited after one was heard. */
-  readonly nextUntil: (heardAt: number) => number
-  /** Called again after each further span of silence. */
+  /** When the wait for the next data ends after some were received. */
+  readonly nextUntil: (receivedAt: number) => number
+  /** Called when a wait ends without data, and again after each further wait. */
   readonly onSilent: () => void
 }
 
@@ -25,8 +25,8 @@
     return new SilenceWatch(options)
   }
 
-  /** A word came; the timer finds out by itself when it is due. */
-  hear (): void {
+  /** Extends the wait after data arrived. The running timer reads the new end when it fires. */
+  recordActivity (): void {
     this.until = this.options.nextUntil(this.options.clock.now())
   }
 
@@ -41,7 +41,7 @@
     this.cancel = atAfterReading(clock, until, () => {
       if (this.until <= until) {
         onSilent()
-        this.hear()
+        this.recordActivity()
       }
       if (!this.isStopped) {
         this.arm()
--- a/packages/foxtaillever-relay/src/exchange/streamPace.ts
+++ b/packages/foxtaillever-relay/src/exchange/streamPace.ts
@@ -1,6 +1,6 @@
-/** When the pieces of a streamed answer went to the caller: its objectives are the first of them and the longest pause after it. */
+/** Measures when the chunks of a streamed answer were sent to the caller. The objectives of a stream are the time to its first chunk and the longest pause after that. */
 export class StreamPace {
-  /** Milliseconds of Unix time; undefined before the first piece. */
+  /** Milliseconds of Unix time; undefined before the first chunk. */
   private firstAt: number | undefined
   private lastAt = 0
   private longestMs = 0
@@ -11,8 +11,8 @@
     return new StreamPace()
   }
 
-  /** A piece goes to the caller. */
-  observe (now: number): void {
+  /** Records that a chunk was sent to the caller. */
+  recordChunk (now: number): void {
     if (this.firstAt === undefined) {
       this.firstAt = now
     } else {
@@ -21,8 +21,8 @@
     this.lastAt = now
   }
 
-  /** For the log, milliseconds; nothing without a piece. */
-  since (arrivedAt: number): { readonly firstMs: number, readonly pauseMs: number } | undefined {
+  /** Time to the first chunk and longest pause, for the log, milliseconds; undefined before the first chunk. */
+  measureSince (arrivedAt: number): { readonly firstMs: number, readonly pauseMs: number } | undefined {
     return this.firstAt === undefined ? undefined : { firstMs: Math.round(this.firstAt - arrivedAt), pauseMs: Math.round(this.longestMs) }
   }
 }
--- a/packages/foxtaillever-relay/src/exchange/watchTry.ts
+++ b/packages/foxtaillever-relay/src/exchange/watchAttempt.ts
@@ -1,16 +1,16 @@
-/** The watch over one try: how long its server may be silent, by the route's objectives and by what is usual. */
+/** Watches one attempt for silence. How long its server may be silent follows from the route's objectives and its usual response time. */
 import { awaitFirstUntil, awaitNextUntil } from 'foxtaillever-policy/relay/silence'
 import type { Exchange } from '../model/exchange.js'
 import type { ExchangeContext } from './exchangeContext.js'
 import { SilenceWatch } from './silenceWatch.js'
 
 /** @param sentAt milliseconds of Unix time. */
-export function watchTry ({ clock, directory }: ExchangeContext, { deadline, route }: Exchange, sentAt: number, onSilent: () => void): SilenceWatch {
+export function watchAttempt ({ clock, directory }: ExchangeContext, { deadline, route }: Exchange, sentAt: number, onSilent: () => void): SilenceWatch {
   const usualMs = directory.experience.usualTimeOf(route.name).value
   return SilenceWatch.start({
     clock,
     firstUntil: awaitFirstUntil({ sentAt, deadline, objectiveMs: route.objectiveMs, usualMs }),
-    nextUntil: heardAt => awaitNextUntil(heardAt, route.pauseObjectiveMs),
+    nextUntil: receivedAt => awaitNextUntil(receivedAt, route.pauseObjectiveMs),
     onSilent
   })
 }
--- a/packages/foxtaillever-relay/src/peers/beatContents.ts
+++ b/packages/foxtaillever-relay/src/peers/beatContents.ts
@@ -1,7 +1,7 @@
 /** What an instance tells of itself with its beats, and what it takes from those of others. */
 import type { Clock } from 'foxtaillever-core'
 import type { CrashSuspects } from '../exchange/crashSuspects.js'
-import type { ExchangeDesk } from '../exchange/exchangeDesk.js'
+import type { ExchangeDispatcher } from '../exchange/exchangeDispatcher.js'
 import type { Knowledge } from '../knowledge/knowledge.js'
 import type { OrderOffice } from '../weights/orderOffice.js'
 import type { PeerMessage } from './peerMessage.js'
@@ -11,7 +11,7 @@
 /** Parts of an instance that beats are about. */
 export interface BeatParts {
   readonly clock: Clock
-  readonly desk: ExchangeDesk
+  readonly desk: ExchangeDispatcher
   readonly suspects: CrashSuspects
   readonly peers: Peers
   readonly knowledge: Knowledge
@@ -31,7 +31,7 @@
     lease: office.lease.news(),
     uses: caches.uses(),
     sums: peers.loads.sums(directory.all().map(({ hash }) => hash)),
-    suspects: suspects.toTell(clock.now()),
+    suspects: suspects.factsToAnnounce(clock.now()),
     ...caches.word(),
     named: office.desk.ages(),
     current: office.desk.current(),
@@ -42,9 +42,9 @@
 
 export function takePeerMessage (parts: BeatParts, { address, lease, suspects, named, current, speeds, limits, ...caches }: PeerMessage): void {
   const { clock, desk, peers, office } = parts
-  desk.observeInstances(peers.count())
+  desk.setInstanceCount(peers.count())
   desk.limits.hear(limits)
-  parts.suspects.hear(suspects, clock.now())
+  parts.suspects.receiveFacts(suspects, clock.now())
   desk.caches.hear(address, caches)
   takeWeightsNotice(office, { news: [], lease })
   speeds.forEach(({ service, ...word }) => desk.directory.experience.prefillSpeedOf(service).hear(word))
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -4,7 +4,7 @@
 import { CallerServer } from './callers/callerServer.js'
 import { ReadinessServer } from './callers/readinessServer.js'
 import { CrashSuspects } from './exchange/crashSuspects.js'
-import { ExchangeDesk } from './exchange/exchangeDesk.js'
+import { ExchangeDispatcher } from './exchange/exchangeDispatcher.js'
 import { createKnowledge } from './knowledge/createKnowledge.js'
 import type { Knowledge } from './knowledge/knowledge.js'
 import { MemberBook } from './knowledge/memberBook.js'
@@ -44,7 +44,7 @@
   private readonly log: RelayLog
   private readonly state: RelayState
   private readonly figures: MetricsServer
-  private readonly desk: ExchangeDesk
+  private readonly desk: ExchangeDispatcher
   private readonly suspects = CrashSuspects.create()
   private readonly callers: CallerServer
   private readonly readiness: ReadinessServer
@@ -140,9 +140,9 @@
     return this.state.dump()
   }
 
-  private createDesk (): ExchangeDesk {
+  private createDesk (): ExchangeDispatcher {
     const { clock, random, failureDomain, serverWire, cacheStoreCalls, retryAllowance, weightsBoundMs } = this.options
-    return ExchangeDesk.create({
+    return ExchangeDispatcher.create({
       clock,
       random,
       failureDomain,
@@ -160,9 +160,9 @@
       watchersOf: store => this.peers.watchers.of(store),
       onLoadChanged: () => this.peers.loads.noteChange(),
       onUnreachable: ({ hash }) => this.peers.loads.noteUnreachable(hash),
-      onRestAsked: ({ hash }) => this.peers.loads.noteResting(hash),
+      onBackoffRequested: ({ hash }) => this.peers.loads.noteResting(hash),
       tellAll: () => this.peers.send(),
-      askLoad: wish => this.peers.loads.ask(wish()),
+      queryLoad: wish => this.peers.loads.ask(wish()),
       onSaved: level => this.peers.loads.noteSaved(level),
       limitProtocol: () => this.limits[LimitScope.Server],
       onLimitChanged: () => this.peers.tellSoon(),
@@ -197,8 +197,8 @@
       ownUses: () => ownUses(this.desk.directory.all()),
       isAskedFor: server => (this.desk.directory.ofHash(server)?.weights.size ?? 0) > 0,
       onSaved: levels => this.desk.caches.savedLevels.hear(levels, clock.now()),
-      onUnreachable: hash => this.desk.hearUnreachable(hash),
-      onResting: hash => this.desk.hearResting(hash),
+      onUnreachable: hash => this.desk.recordUnreachable(hash),
+      onResting: hash => this.desk.recordBackoff(hash),
       onPassedOver: peer => this.log.belief('An instance does not answer questions of load; its second is asked.', { peer }),
       onNotice: notice => this.knowledge.hear(notice),
       onWeights: notice => takeWeightsNotice(this.office, notice),
@@ -271,7 +271,7 @@
   /** The store names all that ever entered. */
   private meet (addresses: readonly string[]): void {
     this.peers.nameAll(addresses)
-    this.desk.observeInstances(this.peers.count())
+    this.desk.setInstanceCount(this.peers.count())
   }
 
   private isReady (): boolean {
--- a/packages/foxtaillever-router/src/adapters/streamHandler.ts
+++ b/packages/foxtaillever-router/src/adapters/streamHandler.ts
@@ -90,7 +90,7 @@
 
   resume (): void {
     this.isPaused = false
-    this.watch.hear()
+    this.watch.recordActivity()
     this.attempt.resume()
   }
 
@@ -100,11 +100,11 @@
 
   onHead (head: AnswerHead): void {
     this.head = head
-    this.watch.hear()
+    this.watch.recordActivity()
   }
 
   onData (bytes: Buffer): void {
-    this.watch.hear()
+    this.watch.recordActivity()
     if (this.head?.status !== STATUS_OK) {
       this.keepError(bytes)
       return
--- a/packages/foxtaillever-router/src/plain/createPlainDesk.ts
+++ b/packages/foxtaillever-router/src/plain/createPlainDesk.ts
@@ -3,7 +3,7 @@
 import type { RetryAllowance } from 'foxtaillever-policy/relay/retryShare'
 import { noLoad } from 'foxtaillever-policy/relay/serverLoad'
 import { withoutStores } from 'foxtaillever-relay/cache/cacheUse'
-import { ExchangeDesk } from 'foxtaillever-relay/exchange/exchangeDesk'
+import { ExchangeDispatcher } from 'foxtaillever-relay/exchange/exchangeDispatcher'
 import type { Suspicions } from 'foxtaillever-relay/exchange/exchangeContext'
 import { noQuotas } from 'foxtaillever-relay/limits/accountQuotas'
 import { noSharedLimits } from 'foxtaillever-relay/limits/limitProtocol'
@@ -28,9 +28,9 @@
 const noSuspicions: Suspicions = {
   isRefused: () => false,
   refusedUntil: () => 0,
-  isDangerous: () => false,
-  accuse: () => {},
-  acquit: () => {}
+  wasLostRepeatedly: () => false,
+  recordLoss: () => {},
+  clearSuspicion: () => {}
 }
 
 /** Retries as the preset in force allows them. */
@@ -46,8 +46,8 @@
   readonly configuration: () => Configuration
 }
 
-export function createPlainDesk ({ configuration, ...shared }: PlainDeskOptions): ExchangeDesk {
-  const desk = ExchangeDesk.create({
+export function createPlainDesk ({ configuration, ...shared }: PlainDeskOptions): ExchangeDispatcher {
+  const desk = ExchangeDispatcher.create({
     ...shared,
     wire: plainWire,
     connectTimeoutMs: CONNECT_TIMEOUT_MS,
@@ -60,8 +60,8 @@
     onLoadChanged: () => {},
     onSaved: () => {},
     onUnreachable: () => {},
-    onRestAsked: () => {},
-    askLoad: () => undefined,
+    onBackoffRequested: () => {},
+    queryLoad: () => undefined,
     weights: { outdatedSince: () => undefined },
     weightsBoundMs: Infinity,
     routing: () => routingOf(configuration()),
@@ -71,6 +71,6 @@
     onMisdirected: () => {}
   })
   // The constant is meant for each instance.
-  desk.observeInstances(1)
+  desk.setInstanceCount(1)
   return desk
 }
--- a/packages/foxtaillever-router/src/plain/plainRouter.ts
+++ b/packages/foxtaillever-router/src/plain/plainRouter.ts
@@ -13,7 +13,7 @@
 } from 'foxtaillever-core'
 import { ServiceGate, type PassListener } from 'foxtaillever-policy'
 import { CallerAnswer } from 'foxtaillever-relay/exchange/callerAnswer'
-import type { ExchangeDesk } from 'foxtaillever-relay/exchange/exchangeDesk'
+import type { ExchangeDispatcher } from 'foxtaillever-relay/exchange/exchangeDispatcher'
 import type { Exchange, ExchangeHead } from 'foxtaillever-relay/model/exchange'
 import { RelayLog } from 'foxtaillever-relay/telemetry/relayLog'
 import type { Logs } from 'foxtaillever-telemetry'
@@ -54,7 +54,7 @@
 export class PlainRouter {
   private readonly gate = ServiceGate.create()
   private readonly log: RelayLog
-  private readonly desk: ExchangeDesk
+  private readonly desk: ExchangeDispatcher
   private readonly servers: PlainServers
   private configuration = emptyConfiguration
   private calls = 0
