--- a/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
+++ b/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
@@ -117,7 +117,7 @@
       suspects: this.suspects,
       quota: {
         admit: (exchange, go) => this.quota.admit(exchange, go),
-        giveBack: exchange => this.quota.giveBack(exchange)
+        refund: exchange => this.quota.refund(exchange)
       },
       limits: this.limits,
       caches: { savedLevels: SavedLevels.create(), fetchLoad: FetchLoad.create(() => 0), available: () => [] },
--- a/packages/foxtaillever-relay/src/__tests__/limitedServers.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/limitedServers.test.ts
@@ -18,13 +18,13 @@
 
   constructor (private left: number, private readonly retryAt = Infinity) {}
 
-  readonly protocol: Pick<LimitProtocol, 'claim' | 'giveBack'> = {
+  readonly protocol: Pick<LimitProtocol, 'claim' | 'refund'> = {
     claim: (_, go) => {
       this.left -= 1
       this.claims += 1
       go({ outcome: this.left >= 0 ? LimitOutcome.Granted : LimitOutcome.Refused, role: LimitRole.Owner, decidedBy: 'a', retryAt: this.retryAt })
     },
-    giveBack: () => { this.givenBack += 1 }
+    refund: () => { this.givenBack += 1 }
   }
 }
 
--- a/packages/foxtaillever-relay/src/bench/controlCost.ts
+++ b/packages/foxtaillever-relay/src/bench/controlCost.ts
@@ -164,10 +164,10 @@
       address,
       ...createQuotaKind({ overage: 0.1, slack: 72_000, windowMs: 8000 }),
       ranking: () => ranked,
-      settledAt: () => 0,
-      instances: () => addresses.length,
-      send: (to, message) => { unpackDatagram(encodeLimitMessage(message)).chain(readLimitMessage).ifJust(heard => protocols[ranked.indexOf(to)]?.hear(heard)) },
-      onMet: () => {},
+      stableSince: () => 0,
+      instanceCount: () => addresses.length,
+      send: (to, message) => { unpackDatagram(encodeLimitMessage(message)).chain(readLimitMessage).ifJust(heard => protocols[ranked.indexOf(to)]?.receive(heard)) },
+      onInstanceSeen: () => {},
       onDecided: () => {},
       onPassedOver: () => {}
     }))
--- a/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
@@ -29,8 +29,8 @@
   readonly retries: RetryShare
   readonly caches: Pick<CacheUse, 'savedLevels' | 'fetchLoad' | 'available'>
   readonly suspects: Suspicions
-  readonly quota: Pick<AccountQuotas, 'admit' | 'giveBack'>
-  readonly limits: Pick<ServerLimits, 'admit' | 'giveBack'>
+  readonly quota: Pick<AccountQuotas, 'admit' | 'refund'>
+  readonly limits: Pick<ServerLimits, 'admit' | 'refund'>
   readonly log: RelayLog
   /** The configuration in force. */
   readonly routing: () => Routing
--- a/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
@@ -282,7 +282,7 @@
   /** What has not run is not used. */
   private returnQuota (end: ExchangeEnd): void {
     if (this.isCounted && end !== ExchangeEnd.Answered && this.ledger.verdict === Verdict.NotRun) {
-      this.context.quota.giveBack(this.exchange)
+      this.context.quota.refund(this.exchange)
     }
     this.isCounted = false
   }
--- a/packages/foxtaillever-relay/src/exchange/tryPlacement.ts
+++ b/packages/foxtaillever-relay/src/exchange/tryPlacement.ts
@@ -47,7 +47,7 @@
     const server = this.countedAt
     this.countedAt = undefined
     if (server) {
-      this.options.context.limits.giveBack(server)
+      this.options.context.limits.refund(server)
     }
   }
 
--- a/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
+++ b/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
@@ -1,4 +1,4 @@
-/** Instances that share quotas, over datagrams in memory that get lost, late and doubled, and may be cut; all admissions are kept for an oracle. */
+/** Instances that share limits over simulated datagrams, which may be lost, delayed, duplicated or partitioned; every decision is recorded for the tests to check. */
 import { SeededRandom, type Random } from 'foxtaillever-core'
 import { LimitOutcome, type SharedLimit, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
 import { VirtualClock } from 'foxtaillever-testing/virtualClock'
@@ -13,120 +13,120 @@
 
 export const quotaKind = createQuotaKind(tolerance)
 
-/** Between two looks at the members, milliseconds. */
-const BEAT_MS = 250
+/** Interval between two updates of the members, milliseconds. */
+const HEARTBEAT_MS = 250
 
-/** IP and UDP headers, bytes. */
-const HEADERS = 28
+/** Size of the IP and UDP headers, bytes. */
+const HEADER_BYTES = 28
 
-/** One request that may run. */
+/** A request that was admitted. */
 export interface Admission {
   readonly at: number
   readonly cost: number
 }
 
-/** What was asked for, and what came of it. */
-export interface Asked extends Admission {
+/** A claim and its result. */
+export interface DecidedClaim extends Admission {
   readonly result: LimitResult
-  /** Until it was decided, milliseconds. */
+  /** Time until the decision, milliseconds. */
   readonly waitedMs: number
 }
 
-export interface Node {
+export interface FleetNode {
   readonly address: string
-  /** Those it knows, itself included. */
-  known: Set<string>
+  /** Addresses of the instances that it knows, itself included. */
+  knownAddresses: Set<string>
   protocol: LimitProtocol
   limitOwners: LimitOwners
   isDown: boolean
-  /** Those of one side hear each other only. */
+  /** Partition; instances reach only those on the same side. */
   side: number
   sentBytes: number
 }
 
 export interface FleetFaults {
-  /** Parts of all datagrams. */
+  /** Shares of all datagrams. */
   lost: number
   doubled: number
-  /** Longest way of a datagram, milliseconds. */
-  longestMs: number
+  /** Longest delay of a datagram, milliseconds. */
+  maxDelayMs: number
 }
 
 export class LimitFleet {
   readonly clock = VirtualClock.create()
-  readonly nodes: Node[] = []
-  readonly asked = new Map<string, Asked[]>()
-  readonly faults: FleetFaults = { lost: 0, doubled: 0, longestMs: 2 }
+  readonly nodes: FleetNode[] = []
+  readonly claims = new Map<string, DecidedClaim[]>()
+  readonly faults: FleetFaults = { lost: 0, doubled: 0, maxDelayMs: 2 }
   private readonly random: Random
 
   private constructor (private readonly kind: LimitKind, seed: number) {
     this.random = SeededRandom.create(seed)
   }
 
-  /** Has run for long enough that all know each other. */
+  /** Starts the instances and runs until all know each other. */
   static async start (size: number, seed = 1, kind = quotaKind): Promise<LimitFleet> {
     const fleet = new LimitFleet(kind, seed)
     const addresses = Array.from({ length: size }, (_, index) => `10.1.${index % 3}.${index}:7340`)
     addresses.forEach(address => fleet.add(address, addresses))
-    fleet.beat()
+    fleet.heartbeat()
     await fleet.pass(6000)
     return fleet
   }
 
   /**
-   * An instance starts, or starts again: it knows nothing of before but the others' addresses.
-   * @param bootMs since its process started, milliseconds.
+   * Starts or restarts an instance; it knows only the addresses of the others.
+   * @param bootMs time since its process started, milliseconds.
    */
-  add (address: string, known: readonly string[], bootMs = 0): Node {
+  add (address: string, known: readonly string[], bootMs = 0): FleetNode {
     const earlier = this.nodes.find(node => node.address === address)
-    const node = earlier ?? { address, isDown: false, side: 0, sentBytes: 0 } as unknown as Node
+    const node = earlier ?? { address, isDown: false, side: 0, sentBytes: 0 } as unknown as FleetNode
     const limitOwners = LimitOwners.create(this.clock.now() - bootMs)
-    Object.assign(node, { known: new Set([address, ...known]), limitOwners, isDown: false })
+    Object.assign(node, { knownAddresses: new Set([address, ...known]), limitOwners, isDown: false })
     node.protocol = LimitProtocol.create({
       clock: this.clock,
       address,
       ...this.kind,
       ranking: account => limitOwners.of(account),
-      settledAt: () => limitOwners.settledAt,
-      instances: () => node.known.size,
+      stableSince: () => limitOwners.stableSince,
+      instanceCount: () => node.knownAddresses.size,
       send: (to, message) => this.send(node, to, message),
-      onMet: other => { node.known.add(other); this.look(node) },
+      onInstanceSeen: peer => { node.knownAddresses.add(peer); this.updateMembers(node) },
       onDecided: () => {},
       onPassedOver: () => {}
     })
     if (!earlier) {
       this.nodes.push(node)
     }
-    this.look(node)
+    this.updateMembers(node)
     return node
   }
 
-  up (): Node[] {
+  up (): FleetNode[] {
     return this.nodes.filter(({ isDown }) => !isDown)
   }
 
-  /** One request of the account at the instance; the oracle hears what came of it. */
-  ask ({ protocol }: Node, key: string, limit: SharedLimit, cost: number): void {
+  /** Claims one request of the account at the instance and records the result. */
+  claim ({ protocol }: FleetNode, key: string, limit: SharedLimit, cost: number): void {
     const at = this.clock.now()
     protocol.claim({ key, limit, cost }, result => {
-      const asked = this.asked.get(key) ?? []
-      asked.push({ at: this.clock.now(), cost, result, waitedMs: this.clock.now() - at })
-      this.asked.set(key, asked)
+      const decided = this.claims.get(key) ?? []
+      decided.push({ at: this.clock.now(), cost, result, waitedMs: this.clock.now() - at })
+      this.claims.set(key, decided)
     })
   }
 
   /**
-   * Requests of an account come at random instants for a while.
+   * Sends requests of an account at random times for a while.
    * @param perSecond tokens of all instances together.
-   * @param pick draws who gets a request; any that is up unless said otherwise.
+   * @param pick chooses the instance that gets a request; by default any that is up.
    */
-  async load (key: string, limit: () => SharedLimit, perSecond: number, cost: number, ms: number, pick: (up: Node[]) => Node | undefined = up => up[this.random.below(up.length)]): Promise<void> {
+  async load (key: string, limit: () => SharedLimit, perSecond: number, cost: number, ms: number, pick: (up: FleetNode[]) => FleetNode | undefined = up => up[this.random.below(up.length)]): Promise<void> {
     const until = this.clock.now() + ms
     while (this.clock.now() < until) {
       await this.pass(-Math.log(1 - this.random.next()) * cost / perSecond * 1000)
       const node = pick(this.up())
       if (node) {
-        this.ask(node, key, limit(), cost)
+        this.claim(node, key, limit(), cost)
       }
     }
   }
@@ -136,64 +136,64 @@
   }
 
   admitted (key: string): Admission[] {
-    return (this.asked.get(key) ?? []).filter(({ result }) => result.outcome === LimitOutcome.Granted)
+    return (this.claims.get(key) ?? []).filter(({ result }) => result.outcome === LimitOutcome.Granted)
   }
 
-  /** Most that was admitted in any window. */
-  mostInWindow (admitted: readonly Admission[]): number {
+  /** Largest cost admitted in any window. */
+  maxInWindow (admitted: readonly Admission[]): number {
     let from = 0
     let sum = 0
-    let most = 0
+    let max = 0
     for (const { at, cost } of admitted) {
       sum += cost
       while ((admitted[from] as Admission).at < at - this.kind.tolerance.windowMs) {
         sum -= (admitted[from++] as Admission).cost
       }
-      most = Math.max(most, sum)
+      max = Math.max(max, sum)
     }
-    return most
+    return max
   }
 
-  private beat (): void {
-    this.up().forEach(node => this.look(node))
-    this.clock.at(this.clock.now() + BEAT_MS, () => this.beat())
+  private heartbeat (): void {
+    this.up().forEach(node => this.updateMembers(node))
+    this.clock.at(this.clock.now() + HEARTBEAT_MS, () => this.heartbeat())
   }
 
-  private look ({ known, limitOwners }: Node): void {
-    limitOwners.setMembers([...known].sort(), known.size >= this.nodes.length, this.clock.now())
+  private updateMembers ({ knownAddresses, limitOwners }: FleetNode): void {
+    limitOwners.setMembers([...knownAddresses].sort(), knownAddresses.size >= this.nodes.length, this.clock.now())
   }
 
-  private send (from: Node, to: string, message: LimitMessage): void {
+  private send (from: FleetNode, to: string, message: LimitMessage): void {
     const bytes = encodeLimitMessage(message)
-    from.sentBytes += bytes.length + HEADERS
-    const { lost, doubled, longestMs } = this.faults
+    from.sentBytes += bytes.length + HEADER_BYTES
+    const { lost, doubled, maxDelayMs } = this.faults
     const copies = this.random.next() < lost ? 0 : this.random.next() < doubled ? 2 : 1
     for (let copy = 0; copy < copies; copy++) {
-      this.clock.at(this.clock.now() + 0.1 + this.random.next() * longestMs, () => {
+      this.clock.at(this.clock.now() + 0.1 + this.random.next() * maxDelayMs, () => {
         const receiver = this.nodes.find(({ address }) => address === to)
         if (receiver && !receiver.isDown && receiver.side === from.side) {
-          unpackDatagram(bytes).chain(readLimitMessage).ifJust(heard => receiver.protocol.hear(heard))
+          unpackDatagram(bytes).chain(readLimitMessage).ifJust(received => receiver.protocol.receive(received))
         }
       })
     }
   }
 }
 
-/** A kind of limit, and what histories draw of it. */
+/** A kind of limit, and how histories draw its parameters. */
 export interface LimitSubject {
   readonly kind: LimitKind
   readonly drawRate: (random: Random) => number
-  readonly leastRate: number
+  readonly minRate: number
   readonly burstOf: (perSecond: number) => number
   readonly drawCost: (random: Random) => number
-  /** What the rule allows in a window. */
+  /** Cost that the rule allows in a window. */
   readonly allowed: (limit: SharedLimit) => number
 }
 
 export const quotas: LimitSubject = {
   kind: quotaKind,
   drawRate: random => 18_000 * 2 ** random.below(6),
-  leastRate: 18_000,
+  minRate: 18_000,
   burstOf: perSecond => perSecond,
   drawCost: random => 500 + random.below(9500),
   allowed
@@ -203,13 +203,13 @@
 export const serverLimits: LimitSubject = {
   kind: serverLimitKind,
   drawRate: random => 0.25 * 2 ** random.below(7),
-  leastRate: 0.25,
+  minRate: 0.25,
   burstOf: () => 0,
   drawCost: () => 1,
   allowed: ({ perSecond }) => 1.5 * perSecond * serverLimitKind.tolerance.windowMs / 1000 + 5
 }
 
-/** What the rule allows of a quota in a window. */
+/** Cost that the rule allows a quota in a window. */
 export function allowed ({ perSecond, burst }: SharedLimit): number {
   const { overage, slack, windowMs } = tolerance
   return (perSecond * windowMs / 1000 + burst) * (1 + overage) + slack
--- a/packages/foxtaillever-relay/src/limits/__tests__/serverLimits.test.ts
+++ b/packages/foxtaillever-relay/src/limits/__tests__/serverLimits.test.ts
@@ -10,25 +10,25 @@
 
 const KEY = '4711'
 
-/** How many times its limit a server in need is sent. */
+/** Load on an overloaded server, as a multiple of its limit. */
 const PRESSURE = 6
 
 function rateOf (perSecond: number): LimitStatement {
   return { kind: LimitStatementKind.Limit, perSecond }
 }
 
-/** One instance and one server, and how often it told the others at once. */
+/** One instance and one server; counts the urgent announcements to other instances. */
 class Rig {
   readonly clock = VirtualClock.create()
   private readonly beganAt = this.clock.now()
   readonly directory = ServerDirectory.create({ onChanged: () => {} })
-  urgent = 0
+  urgentCount = 0
   readonly limits = ServerLimits.create({
     clock: this.clock,
     directory: this.directory,
     log: { belief: () => {}, limitUnreadable: () => {}, sentUnderLimit: () => {}, serverLimitRefused: () => {} },
     protocol: () => noSharedLimits,
-    onUrgent: () => { this.urgent += 1 }
+    onUrgent: () => { this.urgentCount += 1 }
   })
 
   constructor () {
@@ -47,12 +47,12 @@
     this.directory.observe({ id: 's', startedAt, service: 'plain', address: '127.0.0.1:1', failureDomain: 'd', slots: 6, state: ServerState.Ready, coldLeftMs: 0, weights: new Map() }, startedAt)
   }
 
-  /** @param sentMs when its request was sent, milliseconds since the rig began. */
+  /** @param sentMs when the answer's request was sent, milliseconds since the rig started. */
   answer (limit: LimitStatement, sentMs: number, isNotRun = false): void {
-    this.limits.observe(this.server, { limit, hasRun: !isNotRun }, this.beganAt + sentMs)
+    this.limits.applyStatement(this.server, { limit, hasRun: !isNotRun }, this.beganAt + sentMs)
   }
 
-  /** Whether a request counts in a limit. */
+  /** Whether a request is counted against a limit. */
   get isLimited (): boolean {
     let found = LimitAdmission.Free
     this.limits.admit(this.server, exchangeAt(this.clock.now()), admission => { found = admission })
@@ -61,7 +61,7 @@
 }
 
 describe('a limit that a server states', () => {
-  it('holds until an answer to a later request states none', async t => {
+  it('lasts until an answer to a later request states none', async t => {
     const rig = new Rig()
     await rig.clock.advanceBy(1000)
     rig.answer(rateOf(1.1), 500)
@@ -72,7 +72,7 @@
   })
 
   // Guards against an answer that a frozen instance reads seconds late.
-  it('does not end by an answer to an earlier request', async t => {
+  it('is not ended by an answer to an earlier request', async t => {
     const rig = new Rig()
     await rig.clock.advanceBy(1000)
     rig.answer(rateOf(1.1), 500)
@@ -80,7 +80,7 @@
     t.true(rig.isLimited)
   })
 
-  it('does not end by a rejection, nor by a text that is no rate', async t => {
+  it('is not ended by a rejection, nor by a text that is not a rate', async t => {
     const rig = new Rig()
     rig.answer(rateOf(1.1), 0)
     await rig.clock.advanceBy(1000)
@@ -89,74 +89,74 @@
     t.true(rig.isLimited)
   })
 
-  it('begins with a rejection too', t => {
+  it('can begin with a rejection', t => {
     const rig = new Rig()
     rig.answer(rateOf(2), 0, true)
     t.true(rig.isLimited)
   })
 
-  // Guards against a limit of one incarnation that binds the next.
+  // Guards against applying a limit of one incarnation to the next.
   it('ends with the server\'s process', t => {
     const rig = new Rig()
     rig.answer(rateOf(1.1), 0)
     rig.start(7)
     t.false(rig.isLimited)
-    t.deepEqual(rig.limits.news(), [])
+    t.deepEqual(rig.limits.updates(), [])
   })
 
-  it('is told at once when it begins, falls far or ends, and with the beats otherwise', async t => {
+  it('is announced at once when it begins, falls far or ends, and with the heartbeats otherwise', async t => {
     const rig = new Rig()
-    const told: number[] = []
+    const announced: number[] = []
     for (const [index, limit] of [rateOf(10), rateOf(9), rateOf(12), rateOf(2), noLimit].entries()) {
       await rig.clock.advanceBy(100)
       rig.answer(limit, (index + 1) * 100)
-      told.push(rig.urgent)
+      announced.push(rig.urgentCount)
     }
-    t.deepEqual(told, [1, 1, 1, 2, 3])
+    t.deepEqual(announced, [1, 1, 1, 2, 3])
   })
 
-  // Guards against beats that tell of a limit's end for as long as the server answers.
-  it('is told to have ended for some seconds only, however many answers follow', async t => {
+  // Guards against heartbeats that announce a limit's end for as long as the server answers.
+  it('has its end announced for some seconds only, however many answers follow', async t => {
     const rig = new Rig()
     rig.answer(rateOf(1.1), 0)
     for (let second = 1; second <= 6; second += 1) {
       await rig.clock.advanceBy(1000)
       rig.answer(noLimit, second * 1000 - 100)
     }
-    t.deepEqual(rig.limits.news(), [])
+    t.deepEqual(rig.limits.updates(), [])
   })
 
-  // Guards against an old word of another instance that brings a limit back.
-  it('is not brought back by what another instance heard before its end', async t => {
+  // Guards against an old message of another instance that restores an ended limit.
+  it('is not restored by what another instance received before its end', async t => {
     const rig = new Rig()
     rig.answer(rateOf(1.1), 0)
     await rig.clock.advanceBy(2000)
     rig.answer(noLimit, 1500)
-    rig.limits.hear([{ server: rig.server.hash, perSecond: 1.1, ageMs: 800 }])
+    rig.limits.applyUpdates([{ server: rig.server.hash, perSecond: 1.1, ageMs: 800 }])
     t.false(rig.isLimited)
-    rig.limits.hear([{ server: rig.server.hash, perSecond: 1.1, ageMs: 100 }])
+    rig.limits.applyUpdates([{ server: rig.server.hash, perSecond: 1.1, ageMs: 100 }])
     t.true(rig.isLimited)
   })
 })
 
-describe('requests to a server in need', () => {
+describe('requests to an overloaded server', () => {
   for (const size of [6, 70, 380]) {
     for (const perSecond of [0.25, 1.1, 10]) {
-      // Guards against a share for each instance, rounded up or down.
-      it(`stay within ${perSecond} a second from ${size} instances, and use it`, async t => {
+      // Guards against a share per instance, rounded up or down.
+      it(`stay within ${perSecond} a second from ${size} instances, and use the limit`, async t => {
         const fleet = await LimitFleet.start(size, 1, serverLimits.kind)
         const limit = { perSecond, burst: 0, revision: fleet.clock.now() }
         await fleet.load(KEY, () => limit, perSecond * PRESSURE, 1, 16_000)
         const admitted = fleet.admitted(KEY)
-        t.true(fleet.mostInWindow(admitted) <= serverLimits.allowed(limit), `${fleet.mostInWindow(admitted)} of ${serverLimits.allowed(limit)}`)
+        t.true(fleet.maxInWindow(admitted) <= serverLimits.allowed(limit), `${fleet.maxInWindow(admitted)} of ${serverLimits.allowed(limit)}`)
         t.true(admitted.length >= 0.8 * perSecond * 16, `${admitted.length} of ${perSecond * 16}`)
       })
     }
   }
 
-  // Guards against owners that come, go or disagree, each letting the whole limit through.
+  // Guards against owners that join, leave or disagree, each admitting the whole limit.
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
-    it(`stay within it through drawn faults, seed ${seed}`, async t => {
+    it(`stay within the limit through drawn faults, seed ${seed}`, async t => {
       const { changes, worst } = await LimitHistory.play(seed, seed % 2 === 0 ? 6 : 70, serverLimits)
       t.true(worst <= 1, `${worst.toFixed(2)} of what is allowed, with ${changes.join(', ')}`)
     })
--- a/packages/foxtaillever-relay/src/limits/accountQuotas.ts
+++ b/packages/foxtaillever-relay/src/limits/accountQuotas.ts
@@ -1,4 +1,4 @@
-/** Asks for each exchange whether its client account may use what it costs. */
+/** Checks the cost of each exchange against the quota of its client account. */
 import { Failure, FailureCode, type Clock } from 'foxtaillever-core'
 import { LimitOutcome, ReturnOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
 import { comeBackAt } from 'foxtaillever-policy/relay/comeBack'
@@ -8,29 +8,29 @@
 import { LimitScope } from './limitMessage.js'
 import type { LimitKind, LimitProtocol, LimitResult } from './limitProtocol.js'
 
-/** Nobody waits longer for a decision, milliseconds: as long as instances that all start at once differ. */
-const MOST_WAIT_MS = 500
+/** Longest wait for a decision, milliseconds: the spread of the start times of instances that start together. */
+const MAX_WAIT_MS = 500
 
 export function createQuotaKind (tolerance: LimitTolerance): LimitKind {
-  return { scope: LimitScope.Account, tolerance, returnOrder: ReturnOrder.InTurn, mostWaitMs: MOST_WAIT_MS }
+  return { scope: LimitScope.Account, tolerance, retryOrder: ReturnOrder.InTurn, maxWaitMs: MAX_WAIT_MS }
 }
 
 export interface AccountQuotasOptions {
   readonly clock: Clock
-  readonly protocol: () => Pick<LimitProtocol, 'claim' | 'giveBack'>
+  readonly protocol: () => Pick<LimitProtocol, 'claim' | 'refund'>
   readonly log: Pick<RelayLog, 'quotaRefused'>
-  /** Of the configuration in force. */
+  /** Revision of the configuration in force. */
   readonly revision: () => number
 }
 
-/** What an exchange takes of its account's quota, by the quota's unit. */
+/** What an exchange costs its account, by the unit of the quota. */
 const costOf: Readonly<Record<QuotaUnit, (exchange: Exchange, quota: RelayQuota) => number>> = {
   [QuotaUnit.Requests]: () => 1,
   [QuotaUnit.Tokens]: ({ prompt }, { unmeasuredTokens }) => (prompt && prompt.promptTokens + prompt.outputTokens) || unmeasuredTokens
 }
 
-/** Of exchanges whose quota somebody else has looked at. */
-export const noQuotas: Pick<AccountQuotas, 'admit' | 'giveBack'> = { admit: (_, go) => go(), giveBack: () => {} }
+/** For exchanges whose quota has been checked elsewhere: admits all. */
+export const noQuotas: Pick<AccountQuotas, 'admit' | 'refund'> = { admit: (_, onDecided) => onDecided(), refund: () => {} }
 
 export class AccountQuotas {
   private constructor (private readonly options: AccountQuotasOptions) {}
@@ -39,38 +39,38 @@
     return new AccountQuotas(options)
   }
 
-  /** Goes on when it is decided, with the failure of a request that may not run. */
-  admit (exchange: Exchange, go: (refusal?: Failure) => void): void {
+  /** Claims the cost of the exchange; calls back once decided, with a failure if the exchange may not run. */
+  admit (exchange: Exchange, onDecided: (refusal?: Failure) => void): void {
     const quota = exchange.account?.quota
     if (!exchange.account || !quota) {
-      go()
+      onDecided()
       return
     }
     const { clock, protocol, log, revision } = this.options
     const { name } = exchange.account
     const cost = costOf[quota.unit](exchange, quota)
-    const askedAt = clock.now()
+    const claimedAt = clock.now()
     protocol().claim({ key: name, cost, limit: { perSecond: quota.perSecond, burst: quota.burst, revision: revision() } }, result => {
       if (result.outcome === LimitOutcome.Granted) {
-        go()
+        onDecided()
         return
       }
-      log.quotaRefused(exchange, result, cost, askedAt, clock.now())
-      go(this.refusalOf(result))
+      log.quotaRefused(exchange, result, cost, claimedAt, clock.now())
+      onDecided(this.refusalOf(result))
     })
   }
 
-  /** It was counted, and has not run. */
-  giveBack (exchange: Exchange): void {
+  /** Returns the cost of an exchange that was counted but did not run. */
+  refund (exchange: Exchange): void {
     const { account } = exchange
     if (account?.quota) {
-      this.options.protocol().giveBack(account.name, costOf[account.quota.unit](exchange, account.quota))
+      this.options.protocol().refund(account.name, costOf[account.quota.unit](exchange, account.quota))
     }
   }
 
   private refusalOf ({ outcome, retryAt }: LimitResult): Failure {
     return outcome === LimitOutcome.Refused
       ? Failure.notRun(FailureCode.AccountOverLimit, 'The client account is over its quota.', retryAt)
-      : Failure.notRun(FailureCode.QuotaUnknown, 'Nobody who decides on the quota of the client account answers.', comeBackAt(FailureCode.QuotaUnknown, this.options.clock.now()))
+      : Failure.notRun(FailureCode.QuotaUnknown, 'No instance that decides on the quota of the client account answers.', comeBackAt(FailureCode.QuotaUnknown, this.options.clock.now()))
   }
 }
--- a/packages/foxtaillever-relay/src/limits/createLimitProtocols.ts
+++ b/packages/foxtaillever-relay/src/limits/createLimitProtocols.ts
@@ -1,4 +1,4 @@
-/** The limits that an instance shares with the others: quotas of client accounts, and rates that backend servers state. */
+/** Creates the protocols for the limits that all instances share: quotas of client accounts, and rates that backend servers state. */
 import type { Clock } from 'foxtaillever-core'
 import type { LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
 import type { Peers } from '../peers/peers.js'
@@ -30,10 +30,10 @@
     clock,
     address: peers.address,
     ranking: key => peers.limitOwners.of(key),
-    settledAt: () => peers.limitOwners.settledAt,
-    instances: () => peers.count(),
+    stableSince: () => peers.limitOwners.stableSince,
+    instanceCount: () => peers.count(),
     send: (address, message) => peers.link.sendLimit(address, message),
-    onMet: address => peers.meet(address),
+    onInstanceSeen: address => peers.meet(address),
     onDecided: (role, outcome) => log.limitDecided(kind.scope, role, outcome),
     onPassedOver: peer => log.belief('An instance does not answer questions of limits; the next in the ranking is asked.', { peer })
   })
--- a/packages/foxtaillever-relay/src/limits/limitMessage.ts
+++ b/packages/foxtaillever-relay/src/limits/limitMessage.ts
@@ -1,48 +1,50 @@
-/** What instances ask and tell each other about limits that they share, by datagram: arrays by position. */
+/** Datagrams between instances about shared limits, encoded as arrays by position. */
 import type { SharedLimit, LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitBook'
 import { Maybe } from 'purify-ts'
 import { DatagramKind, packDatagram } from '../peers/datagram.js'
 
-/** What a shared limit is for; keys of one kind mean nothing to another. */
+/** What a shared limit applies to; each scope has its own keys. */
 export enum LimitScope {
   /** A client account's quota. */
   Account = 1,
-  /** A rate that a backend server states for itself. */
+  /** A request rate that a backend server states for itself. */
   Server = 2
 }
 
-/** One request of a key, to whoever decides. */
-export interface LimitQuestion {
+/** A claim on a key's limit, sent to an instance that decides on the key. */
+export interface LimitRequest {
   readonly kind: DatagramKind.LimitQuestion
   readonly scope: LimitScope
+  /** Of the sender, as in all messages here. */
   readonly address: string
+  /** Chosen by the sender; the response repeats it. */
   readonly number: number
   readonly key: string
   readonly limit: SharedLimit
   readonly cost: number
-  /** The request did not wait; it can only be counted. */
+  /** The sender has already admitted the claim from its allowance; it can only be counted. */
   readonly isTaken: boolean
 }
 
-export interface LimitAnswer {
+export interface LimitResponse {
   readonly kind: DatagramKind.LimitAnswer
   readonly scope: LimitScope
   readonly address: string
   readonly number: number
   readonly key: string
   readonly outcome: LimitOutcome
-  /** What the teller is to the key. */
+  /** Role of the responder for the key. */
   readonly role: LimitRole
-  /** Until there is room, milliseconds. */
+  /** Time until the claim would fit, milliseconds. */
   readonly retryMs: number
-  /** What the asker may use in the next moment without a decision. */
+  /** Allowance: what the requester may use for a short time without asking. */
   readonly free: number
-  /** Who decides instead, where the teller does not; empty where it does. */
+  /** Address of the owner where the responder does not decide; empty where it does. */
   readonly owner: string
 }
 
-/** A request that was counted has not run. */
-export interface LimitReturn {
+/** Returns the cost of a request that was counted but did not run. */
+export interface LimitRefund {
   readonly kind: DatagramKind.LimitReturn
   readonly scope: LimitScope
   readonly address: string
@@ -50,7 +52,7 @@
   readonly cost: number
 }
 
-/** An owner asks its standby to hold back, and the standby promises it. */
+/** The owner of a key asks its standby to leave the full rate to the owner; the standby promises this. */
 export interface LimitRenewal {
   readonly kind: DatagramKind.LimitRenewal | DatagramKind.LimitPromise
   readonly scope: LimitScope
@@ -60,7 +62,7 @@
   readonly sentAt: number
 }
 
-export type LimitMessage = LimitQuestion | LimitAnswer | LimitReturn | LimitRenewal
+export type LimitMessage = LimitRequest | LimitResponse | LimitRefund | LimitRenewal
 
 export function encodeLimitMessage (message: LimitMessage): Buffer {
   const { kind, scope, address, key } = message
@@ -76,36 +78,36 @@
   }
 }
 
-/** Who speaks of what. */
-type Subject = Pick<LimitMessage, 'scope' | 'address' | 'key'>
+/** The fields that all messages share. */
+type MessageHead = Pick<LimitMessage, 'scope' | 'address' | 'key'>
 
-type Reader = (subject: Subject, rest: readonly unknown[]) => LimitMessage
+type Reader = (head: MessageHead, rest: readonly unknown[]) => LimitMessage
 
-const readRenewal = (kind: LimitRenewal['kind']): Reader => (subject, [sentAt]) => ({ kind, ...subject, sentAt: Number(sentAt) })
+const readRenewal = (kind: LimitRenewal['kind']): Reader => (head, [sentAt]) => ({ kind, ...head, sentAt: Number(sentAt) })
 
 const readers: Readonly<Record<LimitMessage['kind'], Reader>> = {
-  [DatagramKind.LimitQuestion]: (subject, [number, perSecond, burst, revision, cost, isTaken]) => ({
-    kind: DatagramKind.LimitQuestion, ...subject, number: Number(number), limit: { perSecond: Number(perSecond), burst: Number(burst), revision: Number(revision) }, cost: Number(cost), isTaken: isTaken === true
+  [DatagramKind.LimitQuestion]: (head, [number, perSecond, burst, revision, cost, isTaken]) => ({
+    kind: DatagramKind.LimitQuestion, ...head, number: Number(number), limit: { perSecond: Number(perSecond), burst: Number(burst), revision: Number(revision) }, cost: Number(cost), isTaken: isTaken === true
   }),
-  [DatagramKind.LimitAnswer]: (subject, [number, outcome, role, retryMs, free, owner]) => ({
-    kind: DatagramKind.LimitAnswer, ...subject, number: Number(number), outcome: outcome as LimitOutcome, role: role as LimitRole, retryMs: Number(retryMs), free: Number(free), owner: String(owner)
+  [DatagramKind.LimitAnswer]: (head, [number, outcome, role, retryMs, free, owner]) => ({
+    kind: DatagramKind.LimitAnswer, ...head, number: Number(number), outcome: outcome as LimitOutcome, role: role as LimitRole, retryMs: Number(retryMs), free: Number(free), owner: String(owner)
   }),
-  [DatagramKind.LimitReturn]: (subject, [cost]) => ({ kind: DatagramKind.LimitReturn, ...subject, cost: Number(cost) }),
+  [DatagramKind.LimitReturn]: (head, [cost]) => ({ kind: DatagramKind.LimitReturn, ...head, cost: Number(cost) }),
   [DatagramKind.LimitRenewal]: readRenewal(DatagramKind.LimitRenewal),
   [DatagramKind.LimitPromise]: readRenewal(DatagramKind.LimitPromise)
 }
 
-/** Numbers that are none would empty a bucket for good. */
-function isSound (message: LimitMessage): boolean {
+/** A number such as NaN would leave the key's bucket empty forever. */
+function hasFiniteNumbers (message: LimitMessage): boolean {
   return Object.values(message).every(value => typeof value !== 'number' || Number.isFinite(value)) &&
     (message.kind !== DatagramKind.LimitQuestion || Object.values(message.limit).every(Number.isFinite))
 }
 
-/** Nothing for a datagram of another form. */
+/** Returns Nothing for a datagram of another form. */
 export function readLimitMessage (wire: readonly unknown[]): Maybe<LimitMessage> {
   const [kind, scope, address, key, ...rest] = wire as readonly [LimitMessage['kind'], LimitScope, unknown, unknown, ...unknown[]]
   return Maybe.fromNullable(readers[kind])
     .filter(() => scope in LimitScope && typeof address === 'string' && typeof key === 'string')
     .chain(read => Maybe.encase(() => read({ scope, address: address as string, key: key as string }, rest)))
-    .filter(isSound)
+    .filter(hasFiniteNumbers)
 }
--- a/packages/foxtaillever-relay/src/limits/limitProtocol.ts
+++ b/packages/foxtaillever-relay/src/limits/limitProtocol.ts
@@ -1,283 +1,284 @@
 /**
  * Limits that the instances of a fleet share. Each key has an owner, computed from
- * the members, that decides for all; the next two in the ranking take over within
- * the bounds that `SharedLimitBook` sets. Each answer says what its asker may use
- * without waiting, so that far from the limit a request is only counted there; near
- * it one question is waited for.
+ * the members, that decides for all instances; the next two in the ranking take
+ * over within the bounds that `SharedLimitBook` sets. Each response grants its
+ * requester an allowance to use without waiting. Far from the limit a claim is admitted
+ * from the allowance and only counted at the owner; near the limit it waits for one
+ * response.
  */
 import { atAfterSilence, type Cancellation, type Clock } from 'foxtaillever-core'
 import { RecentMap } from 'foxtaillever-policy/collections/recentMap'
 import { SharedLimitBook, LimitOutcome, LimitRole, RENEWAL_MS, type LimitClaim, type LimitTolerance, type ReturnOrder } from 'foxtaillever-policy/limits/sharedLimitBook'
 import { DatagramKind } from '../peers/datagram.js'
 import { PassedOver, type PassedOverOptions } from '../peers/passedOver.js'
-import { LimitScope, type LimitAnswer, type LimitMessage, type LimitQuestion } from './limitMessage.js'
+import { LimitScope, type LimitResponse, type LimitMessage, type LimitRequest } from './limitMessage.js'
 
-/** One that does not answer for so long, milliseconds, is silent: a datagram's way is two at most, a busy loop takes tens. */
-const ANSWER_MS = 50
+/** Wait for a response, milliseconds: a datagram travels two at most, a busy event loop delays it by tens. */
+const RESPONSE_TIMEOUT_MS = 50
 
-/** What may be used without a decision is forgotten after this, milliseconds. */
-const FREE_MS = 500
+/** An allowance expires after this, milliseconds. */
+const ALLOWANCE_TTL_MS = 500
 
-/** Keys of which something may be used without a decision. */
-const FREE_BOUND = 2048
+/** Keys for which an allowance is kept. */
+const MAX_ALLOWANCES = 2048
 
-/** The ranking's places, in their order. */
+/** Roles of the instances in a key's ranking, in order. */
 const rolesByRank: readonly LimitRole[] = [LimitRole.Owner, LimitRole.Standby, LimitRole.Reserve]
 
-/** How the revision of a limit travels; the same way back. */
+/** Converts the revision of a limit to its wire form; the same function converts it back. */
 const revisionOnWire: Readonly<Record<LimitScope, (revision: number, now: number) => number>> = {
   [LimitScope.Account]: revision => revision,
-  // When a server stated it: an age, since the clocks of instances differ.
+  // The revision is the time of the server's statement; sent as an age, since the clocks of instances differ.
   [LimitScope.Server]: (statedAt, now) => now - statedAt
 }
 
-/** Instances that may decide for a key. */
-export const LIMIT_RANKS = rolesByRank.length
+/** Number of instances that may decide on a key. */
+export const LIMIT_RANKING_SIZE = rolesByRank.length
 
-/** What came of a claim. */
+/** Result of a claim. */
 export interface LimitResult {
-  /** Nobody decided where it is neither granted nor refused. */
+  /** Neither granted nor refused if no instance decided. */
   readonly outcome: LimitOutcome
   readonly role: LimitRole
-  /** Who decided; empty for none. */
+  /** Address of the instance that decided; empty if none did. */
   readonly decidedBy: string
-  /** When there is room, milliseconds of Unix time; for a refusal. */
+  /** For a refusal: when the claim would fit, milliseconds of Unix time. */
   readonly retryAt: number
 }
 
-/** How limits of one scope are held. */
+/** How limits of one scope are enforced. */
 export interface LimitKind {
   readonly scope: LimitScope
   readonly tolerance: LimitTolerance
-  readonly returnOrder: ReturnOrder
-  /** Nobody waits for a decision for longer, milliseconds. */
-  readonly mostWaitMs: number
+  readonly retryOrder: ReturnOrder
+  /** Longest wait for a decision, milliseconds. */
+  readonly maxWaitMs: number
 }
 
 export interface LimitProtocolOptions extends LimitKind, PassedOverOptions {
   readonly clock: Clock
   readonly address: string
-  /** Addresses of those that may decide for a key, the owner first. */
+  /** Addresses of the instances that may decide on a key, the owner first. */
   readonly ranking: (key: string) => readonly string[]
-  /** Since when the members are those by which rankings are computed; undefined while they are not known yet. */
-  readonly settledAt: () => number | undefined
-  /** Those that there are, this one included. */
-  readonly instances: () => number
+  /** When the members behind the rankings last changed, milliseconds of Unix time; undefined until they are known. */
+  readonly stableSince: () => number | undefined
+  /** Instances of the fleet, this one included. */
+  readonly instanceCount: () => number
   readonly send: (address: string, message: LimitMessage) => void
-  /** An instance spoke that may not be known here yet. */
-  readonly onMet: (address: string) => void
+  /** A message came from an instance that may not be known here yet. */
+  readonly onInstanceSeen: (address: string) => void
   /** This instance decided on a claim of any instance. */
   readonly onDecided: (role: LimitRole, outcome: LimitOutcome) => void
 }
 
-/** Where all requests may run, as among servers that state no limit. */
-export const noSharedLimits: Pick<LimitProtocol, 'claim' | 'giveBack'> = {
-  claim: (_, go) => go({ outcome: LimitOutcome.Granted, role: LimitRole.None, decidedBy: '', retryAt: 0 }),
-  giveBack: () => {}
+/** Grants every claim, as where no server states a limit. */
+export const noSharedLimits: Pick<LimitProtocol, 'claim' | 'refund'> = {
+  claim: (_, onResult) => onResult({ outcome: LimitOutcome.Granted, role: LimitRole.None, decidedBy: '', retryAt: 0 }),
+  refund: () => {}
 }
 
 interface Allowance {
   tokens: number
   /** Milliseconds of Unix time. */
-  readonly until: number
+  readonly expiresAt: number
 }
 
-interface Pending {
+interface PendingClaim {
   readonly claim: LimitClaim
-  /** Those that have not been asked in this round, in their order. */
-  left: readonly string[]
-  /** Asked and not heard of. */
-  readonly waiting: Set<string>
-  /** All that were asked. */
-  readonly asked: Set<string>
-  readonly go: (result: LimitResult) => void
-  readonly until: number
+  /** Addresses not queried in this round yet, in ranking order. */
+  remaining: readonly string[]
+  /** Addresses queried without a response so far. */
+  readonly unanswered: Set<string>
+  /** All addresses queried. */
+  readonly queried: Set<string>
+  readonly onResult: (result: LimitResult) => void
+  readonly deadline: number
   cancel: Cancellation
 }
 
 export class LimitProtocol {
-  private readonly book: SharedLimitBook
-  private readonly passedOver: PassedOver
-  private readonly pending = new Map<number, Pending>()
-  private readonly allowances = RecentMap.create<Allowance>(FREE_BOUND)
-  /** Keys whose promise will be looked at again. */
-  private readonly renewing = new Set<string>()
-  private number = 0
+  private readonly ledger: SharedLimitBook
+  private readonly skippedPeers: PassedOver
+  private readonly pending = new Map<number, PendingClaim>()
+  private readonly allowances = RecentMap.create<Allowance>(MAX_ALLOWANCES)
+  /** Keys with a scheduled renewal of the standby's promise. */
+  private readonly renewals = new Set<string>()
+  private nextNumber = 0
 
   private constructor (private readonly options: LimitProtocolOptions) {
-    this.book = SharedLimitBook.create(options.tolerance, options.returnOrder)
-    this.passedOver = PassedOver.create(options)
+    this.ledger = SharedLimitBook.create(options.tolerance, options.retryOrder)
+    this.skippedPeers = PassedOver.create(options)
   }
 
   static create (options: LimitProtocolOptions): LimitProtocol {
     return new LimitProtocol(options)
   }
 
-  /** Counts a request of a key and goes on when it is decided, at once where nobody need be waited for. */
-  claim (claim: Omit<LimitClaim, 'isTaken'>, go: (result: LimitResult) => void): void {
-    const { clock, mostWaitMs } = this.options
+  /** Counts a request against a key's limit; calls back when decided, at once if the allowance covers it. */
+  claim (claim: Omit<LimitClaim, 'isTaken'>, onResult: (result: LimitResult) => void): void {
+    const { clock, maxWaitMs } = this.options
     const now = clock.now()
-    const left = this.ranking(claim.key)
-    const [first] = left
-    if (first !== undefined && first !== this.options.address && this.isFree(claim, now)) {
-      this.ask(first, this.number++, { ...claim, isTaken: true })
-      go({ outcome: LimitOutcome.Granted, role: LimitRole.None, decidedBy: '', retryAt: now })
+    const remaining = this.ranking(claim.key)
+    const [first] = remaining
+    if (first !== undefined && first !== this.options.address && this.spendAllowance(claim, now)) {
+      this.sendRequest(first, this.nextNumber++, { ...claim, isTaken: true })
+      onResult({ outcome: LimitOutcome.Granted, role: LimitRole.None, decidedBy: '', retryAt: now })
       return
     }
-    const number = this.number++
-    const pending: Pending = { claim: { ...claim, isTaken: false }, left, waiting: new Set(), asked: new Set(), go, until: now + mostWaitMs, cancel: () => {} }
+    const number = this.nextNumber++
+    const pending: PendingClaim = { claim: { ...claim, isTaken: false }, remaining, unanswered: new Set(), queried: new Set(), onResult, deadline: now + maxWaitMs, cancel: () => {} }
     this.pending.set(number, pending)
-    this.askNext(number, pending)
+    this.requestNext(number, pending)
   }
 
-  /** A request that was counted has not run. */
-  giveBack (key: string, cost: number): void {
+  /** Returns the cost of a request that was counted but did not run. */
+  refund (key: string, cost: number): void {
     const [owner] = this.ranking(key)
     const { address, scope, send } = this.options
     if (owner === address) {
-      this.book.giveBack(key, cost)
+      this.ledger.giveBack(key, cost)
     } else if (owner !== undefined) {
       send(owner, { kind: DatagramKind.LimitReturn, scope, address, key, cost })
     }
   }
 
-  hear (message: LimitMessage): void {
+  receive (message: LimitMessage): void {
     const { clock, address, send } = this.options
     switch (message.kind) {
-      case DatagramKind.LimitQuestion: send(message.address, this.answer(this.convert(message))); break
-      case DatagramKind.LimitAnswer: this.hearAnswer(message); break
-      case DatagramKind.LimitReturn: this.book.giveBack(message.key, message.cost); break
+      case DatagramKind.LimitQuestion: send(message.address, this.decide(this.convertRevision(message))); break
+      case DatagramKind.LimitAnswer: this.receiveResponse(message); break
+      case DatagramKind.LimitReturn: this.ledger.giveBack(message.key, message.cost); break
       case DatagramKind.LimitRenewal:
-        // One that has just joined owns the key now, and this instance has to know it.
-        this.options.onMet(message.address)
-        this.book.promise(message.key, clock.now())
+        // The sender may have just joined and own the key now; this instance must count it as a member.
+        this.options.onInstanceSeen(message.address)
+        this.ledger.promise(message.key, clock.now())
         send(message.address, { ...message, kind: DatagramKind.LimitPromise, address })
         break
-      case DatagramKind.LimitPromise: this.book.observePromise(message.key, message.sentAt); break
+      case DatagramKind.LimitPromise: this.ledger.observePromise(message.key, message.sentAt); break
     }
   }
 
-  /** Whether it need not wait for a decision; if so, it is taken off what need not. */
-  private isFree ({ key, cost }: Omit<LimitClaim, 'isTaken'>, now: number): boolean {
+  /** Deducts the cost from the key's allowance; returns whether the allowance covered it. */
+  private spendAllowance ({ key, cost }: Omit<LimitClaim, 'isTaken'>, now: number): boolean {
     const allowance = this.allowances.peek(key)
-    if (!allowance || allowance.until <= now || allowance.tokens < cost) {
+    if (!allowance || allowance.expiresAt <= now || allowance.tokens < cost) {
       return false
     }
     allowance.tokens -= cost
     return true
   }
 
-  /** Those that answer, or all where none does. */
+  /** Ranked addresses that answer, or all of them if none does. */
   private ranking (key: string): string[] {
     const ranking = this.options.ranking(key)
-    const answering = ranking.filter(address => !this.passedOver.has(address))
+    const answering = ranking.filter(address => !this.skippedPeers.has(address))
     return answering.length > 0 ? answering : [...ranking]
   }
 
-  /** Between this instance's clock and the wire. */
-  private convert (question: LimitQuestion): LimitQuestion {
-    const { limit } = question
-    return { ...question, limit: { ...limit, revision: revisionOnWire[this.options.scope](limit.revision, this.options.clock.now()) } }
+  /** Converts the limit's revision between this instance's clock and the wire form. */
+  private convertRevision (request: LimitRequest): LimitRequest {
+    const { limit } = request
+    return { ...request, limit: { ...limit, revision: revisionOnWire[this.options.scope](limit.revision, this.options.clock.now()) } }
   }
 
-  private ask (address: string, number: number, claim: LimitClaim): void {
+  private sendRequest (address: string, number: number, claim: LimitClaim): void {
     const { address: own, scope } = this.options
-    const question: LimitQuestion = { kind: DatagramKind.LimitQuestion, scope, address: own, number, ...claim }
+    const request: LimitRequest = { kind: DatagramKind.LimitQuestion, scope, address: own, number, ...claim }
     if (address === own) {
-      this.hearAnswer(this.answer(question))
+      this.receiveResponse(this.decide(request))
     } else {
-      this.options.send(address, this.convert(question))
+      this.options.send(address, this.convertRevision(request))
     }
   }
 
-  /** Asks whoever is next. After the last it begins anew, since one that starts, or learns who the others are, decides a moment later. */
-  private askNext (number: number, pending: Pending): void {
+  /** Queries the next address. After the last it starts over, since an instance that is starting or still learning the members decides a moment later. */
+  private requestNext (number: number, pending: PendingClaim): void {
     const { clock } = this.options
     const now = clock.now()
     pending.cancel()
-    if (now >= pending.until) {
-      this.settle(number, { outcome: LimitOutcome.NotMine, role: LimitRole.None, decidedBy: '', retryAt: now })
+    if (now >= pending.deadline) {
+      this.complete(number, { outcome: LimitOutcome.NotMine, role: LimitRole.None, decidedBy: '', retryAt: now })
       return
     }
-    const [next, ...left] = pending.left
-    pending.left = next === undefined ? this.ranking(pending.claim.key) : left
-    pending.cancel = atAfterSilence(clock, Math.min(now + ANSWER_MS, pending.until), () => this.miss(number, pending, next))
+    const [next, ...remaining] = pending.remaining
+    pending.remaining = next === undefined ? this.ranking(pending.claim.key) : remaining
+    pending.cancel = atAfterSilence(clock, Math.min(now + RESPONSE_TIMEOUT_MS, pending.deadline), () => this.handleTimeout(number, pending, next))
     if (next !== undefined) {
-      pending.waiting.add(next)
-      pending.asked.add(next)
-      this.ask(next, number, pending.claim)
+      pending.unanswered.add(next)
+      pending.queried.add(next)
+      this.sendRequest(next, number, pending.claim)
     }
   }
 
-  private miss (number: number, pending: Pending, asked: string | undefined): void {
-    if (asked !== undefined && pending.waiting.has(asked)) {
-      this.passedOver.miss(asked)
+  private handleTimeout (number: number, pending: PendingClaim, queried: string | undefined): void {
+    if (queried !== undefined && pending.unanswered.has(queried)) {
+      this.skippedPeers.miss(queried)
     }
-    this.askNext(number, pending)
+    this.requestNext(number, pending)
   }
 
-  private hearAnswer ({ address, number, key, outcome, role, retryMs, free, owner }: LimitAnswer): void {
+  private receiveResponse ({ address, number, key, outcome, role, retryMs, free, owner }: LimitResponse): void {
     const now = this.options.clock.now()
-    this.passedOver.hear(address)
-    this.allowances.set(key, { tokens: free, until: now + FREE_MS })
+    this.skippedPeers.hear(address)
+    this.allowances.set(key, { tokens: free, expiresAt: now + ALLOWANCE_TTL_MS })
     const pending = this.pending.get(number)
-    if (pending?.waiting.delete(address) !== true) {
+    if (pending?.unanswered.delete(address) !== true) {
       return
     }
     if (outcome !== LimitOutcome.NotMine) {
-      this.settle(number, { outcome, role, decidedBy: address, retryAt: now + retryMs })
+      this.complete(number, { outcome, role, decidedBy: address, retryAt: now + retryMs })
       return
     }
-    if (owner !== '' && !pending.asked.has(owner)) {
-      pending.left = [owner, ...pending.left.filter(other => other !== owner)]
+    if (owner !== '' && !pending.queried.has(owner)) {
+      pending.remaining = [owner, ...pending.remaining.filter(candidate => candidate !== owner)]
     }
-    if (pending.left.length > 0) {
-      this.askNext(number, pending)
+    if (pending.remaining.length > 0) {
+      this.requestNext(number, pending)
     }
   }
 
-  private settle (number: number, result: LimitResult): void {
+  private complete (number: number, result: LimitResult): void {
     const pending = this.pending.get(number)
     this.pending.delete(number)
     pending?.cancel()
-    pending?.go(result)
+    pending?.onResult(result)
   }
 
-  /** Asks the standby to hold back, as long as the key's bucket has to fill at the whole rate. */
+  /** Asks the standby to leave the full rate to this owner, for as long as the key's bucket needs it to refill. */
   private renew (key: string): void {
     const { address, scope, clock, ranking, send } = this.options
     const now = clock.now()
     const [owner, standby] = ranking(key)
-    const dueAt = this.book.renewalDueAt(key, now)
+    const dueAt = this.ledger.renewalDueAt(key, now)
     if (dueAt === undefined || owner !== address || standby === undefined) {
       return
     }
     if (dueAt <= now) {
-      this.book.noteRenewal(key, now)
+      this.ledger.noteRenewal(key, now)
       send(standby, { kind: DatagramKind.LimitRenewal, scope, address, key, sentAt: now })
     }
-    if (!this.renewing.has(key)) {
-      this.renewing.add(key)
+    if (!this.renewals.has(key)) {
+      this.renewals.add(key)
       clock.at(now + RENEWAL_MS, () => {
-        this.renewing.delete(key)
+        this.renewals.delete(key)
         this.renew(key)
       })
     }
   }
 
-  /** Decides as what this instance is to the key. */
-  private answer ({ number, key, limit, cost, isTaken }: LimitQuestion): LimitAnswer {
-    const { address, scope, clock, ranking, settledAt, instances, onDecided } = this.options
+  /** Decides on a claim in this instance's role for the key. */
+  private decide ({ number, key, limit, cost, isTaken }: LimitRequest): LimitResponse {
+    const { address, scope, clock, ranking, stableSince, instanceCount, onDecided } = this.options
     const now = clock.now()
     const ranked = ranking(key)
-    const since = settledAt()
+    const since = stableSince()
     const [, standby] = ranked
     if (standby === undefined) {
-      // Alone there is nobody who would have to hold back.
-      this.book.observePromise(key, now)
+      // Without a standby no promise is needed.
+      this.ledger.observePromise(key, now)
     }
     const role = since === undefined ? LimitRole.None : rolesByRank[ranked.indexOf(address)] ?? LimitRole.None
-    const { outcome, retryAt, free } = this.book.decide({ key, limit, cost, isTaken }, role, since ?? now, instances(), now)
+    const { outcome, retryAt, free } = this.ledger.decide({ key, limit, cost, isTaken }, role, since ?? now, instanceCount(), now)
     this.renew(key)
     if (!isTaken) {
       onDecided(role, outcome)
--- a/packages/foxtaillever-relay/src/limits/serverLimits.ts
+++ b/packages/foxtaillever-relay/src/limits/serverLimits.ts
@@ -1,10 +1,10 @@
 /**
  * Rate limits that backend servers state for all instances together: learned from
- * answers, told among instances, and held by the protocol of shared limits.
+ * answers, announced among instances, and enforced by the protocol of shared limits.
  *
- * The load it answers: a server in need takes an eighth of its usual. Each instance
- * learns of it at another moment and sends it less than one request of the limit,
- * so that only their sum shows that it is too much.
+ * It handles an overloaded server that accepts an eighth of its usual load. The
+ * instances learn of this at different moments, and each sends less than one request
+ * of the limit, so only the sum over all instances shows that the limit is exceeded.
  */
 import type { Clock } from 'foxtaillever-core'
 import { LimitOutcome, ReturnOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
@@ -20,37 +20,37 @@
 import type { LimitKind, LimitProtocol, LimitResult } from './limitProtocol.js'
 
 /**
- * A standby and a reserve may let through a few requests of their own beside the
- * owner: with its rate they stay below one and a half times the limit and five
- * requests in any window.
+ * The standby and the reserve may admit a few requests in addition to the owner's:
+ * together they stay below one and a half times the limit plus five requests
+ * in any window.
  */
 const TOLERANCE: LimitTolerance = { overage: 0, slack: 4, windowMs: 4000 }
 
-/** Nobody waits longer for a decision, milliseconds: other servers may have room. */
-const MOST_WAIT_MS = 100
+/** Longest wait for a decision, milliseconds: other servers may have room. */
+const MAX_WAIT_MS = 100
 
-export const serverLimitKind: LimitKind = { scope: LimitScope.Server, tolerance: TOLERANCE, returnOrder: ReturnOrder.FirstCome, mostWaitMs: MOST_WAIT_MS }
+export const serverLimitKind: LimitKind = { scope: LimitScope.Server, tolerance: TOLERANCE, retryOrder: ReturnOrder.FirstCome, maxWaitMs: MAX_WAIT_MS }
 
-/** However little a server takes, it gets so many requests a second: only its answers tell that its need is over. */
-const LEAST_PER_S = 0.25
+/** A server gets at least this many requests a second, however low its limit: only its answers show that the limit has ended. */
+const MIN_PER_S = 0.25
 
-/** A refusal is taken for the server's for so long at most, milliseconds: limits rise, and others give back. */
-const MOST_REFUSED_MS = 1000
+/** Longest time for which a refusal blocks the server here, milliseconds: limits rise, and other instances refund claims. */
+const MAX_REFUSED_MS = 1000
 
-/** And for so long at least, milliseconds: a bucket that is just empty has room at once, and the clock may stand for a turn. */
-const LEAST_REFUSED_MS = 5
+/** Shortest time for which a refusal blocks the server here, milliseconds: a bucket that has just run empty has room at once, and the clock may not advance within a turn of the event loop. */
+const MIN_REFUSED_MS = 5
 
-/** Where nobody decided, the next request asks again after this, milliseconds. */
-const UNDECIDED_MS = 200
+/** If no instance decided, the server is blocked here for this long, milliseconds; then the next request claims again. */
+const UNDECIDED_RETRY_MS = 200
 
-/** A limit that falls by more than this part is told at once. */
-const URGENT_FALL = 0.3
+/** A limit that falls by more than this share is announced at once. */
+const URGENT_DECREASE = 0.3
 
 /** Whether a request may be sent to a server. */
 export enum LimitAdmission {
   /** No limit is in force. */
   Free = 'free',
-  /** It is counted in the limit. */
+  /** The request is counted against the limit. */
   Counted = 'counted',
   Refused = 'refused'
 }
@@ -59,8 +59,8 @@
   readonly clock: Clock
   readonly directory: Pick<ServerDirectory, 'ofHash'>
   readonly log: Pick<RelayLog, 'belief' | 'limitUnreadable' | 'sentUnderLimit' | 'serverLimitRefused'>
-  readonly protocol: () => Pick<LimitProtocol, 'claim' | 'giveBack'>
-  /** A limit began, ended or fell, which the other instances must know now. */
+  readonly protocol: () => Pick<LimitProtocol, 'claim' | 'refund'>
+  /** A limit began, ended or fell far; the other instances must learn of it now. */
   readonly onUrgent: () => void
 }
 
@@ -74,35 +74,35 @@
   }
 
   /**
-   * Takes in what an answer states.
+   * Applies what an answer states about the server's limit.
    * @param sentAt when its request was sent, milliseconds of Unix time.
    */
-  observe (server: KnownServer, { limit, hasRun }: Pick<ServerStatement, 'limit' | 'hasRun'>, sentAt: number): void {
+  applyStatement (server: KnownServer, { limit, hasRun }: Pick<ServerStatement, 'limit' | 'hasRun'>, sentAt: number): void {
     const { clock, log } = this.options
     switch (limit.kind) {
-      case LimitStatementKind.Limit: this.learnHere(server, limit.perSecond, clock.now()); break
+      case LimitStatementKind.Limit: this.recordOwnObservation(server, limit.perSecond, clock.now()); break
       case LimitStatementKind.Unreadable: log.limitUnreadable(server.listed.id, limit.text); break
       case LimitStatementKind.None:
         // A rejection need not repeat the limit.
         if (hasRun) {
-          this.learnHere(server, undefined, sentAt)
+          this.recordOwnObservation(server, undefined, sentAt)
         }
     }
   }
 
-  /** What another instance tells. */
-  hear (news: readonly LimitNews[]): void {
+  /** Applies updates of another instance. */
+  applyUpdates (updates: readonly LimitNews[]): void {
     const { clock, directory } = this.options
-    news.forEach(({ server, perSecond, ageMs }) => {
+    updates.forEach(({ server, perSecond, ageMs }) => {
       const known = directory.ofHash(server)
       if (known) {
-        this.learn(known, perSecond, clock.now() - ageMs)
+        this.recordLimit(known, perSecond, clock.now() - ageMs)
       }
     })
   }
 
-  /** What to tell the others. */
-  news (): LimitNews[] {
+  /** Updates to send to the other instances. */
+  updates (): LimitNews[] {
     const { clock, directory } = this.options
     const now = clock.now()
     return this.stated.toTell(now)
@@ -110,29 +110,29 @@
       .map(({ server, perSecond, at }) => ({ server, perSecond, ageMs: now - at }))
   }
 
-  /** Counts a request in the server's limit, and goes on when it is decided. */
-  admit (server: KnownServer, exchange: Exchange, go: (admission: LimitAdmission) => void): void {
+  /** Counts a request against the server's limit; calls back when decided. */
+  admit (server: KnownServer, exchange: Exchange, onDecided: (admission: LimitAdmission) => void): void {
     const limit = this.stated.of(server.hash)
     if (!limit) {
-      go(LimitAdmission.Free)
+      onDecided(LimitAdmission.Free)
       return
     }
-    const shared = { perSecond: this.limitOf(server) ?? LEAST_PER_S, burst: 0, revision: limit.at }
-    this.options.protocol().claim({ key: String(server.hash), limit: shared, cost: 1 }, result => go(this.settle(server, exchange, limit, result)))
+    const shared = { perSecond: this.limitOf(server) ?? MIN_PER_S, burst: 0, revision: limit.at }
+    this.options.protocol().claim({ key: String(server.hash), limit: shared, cost: 1 }, result => onDecided(this.applyResult(server, exchange, limit, result)))
   }
 
-  /** What was counted did not reach the server. */
-  giveBack ({ hash }: KnownServer): void {
-    this.options.protocol().giveBack(String(hash), 1)
+  /** Returns the cost of a counted request that did not reach the server. */
+  refund ({ hash }: KnownServer): void {
+    this.options.protocol().refund(String(hash), 1)
   }
 
-  /** Requests a second that the server takes from all instances together; undefined without a limit. */
+  /** Requests a second that the server accepts from all instances together; undefined without a limit. */
   limitOf ({ hash }: KnownServer): number | undefined {
     const limit = this.stated.of(hash)
-    return limit && Math.max(LEAST_PER_S, limit.perSecond)
+    return limit && Math.max(MIN_PER_S, limit.perSecond)
   }
 
-  private settle (server: KnownServer, exchange: Exchange, limit: StatedLimit, result: LimitResult): LimitAdmission {
+  private applyResult (server: KnownServer, exchange: Exchange, limit: StatedLimit, result: LimitResult): LimitAdmission {
     const { clock, log } = this.options
     const now = clock.now()
     const { id } = server.listed
@@ -140,21 +140,21 @@
       log.sentUnderLimit(exchange, id, limit, now)
       return LimitAdmission.Counted
     }
-    const pauseMs = result.outcome === LimitOutcome.Refused ? Math.min(Math.max(result.retryAt - now, LEAST_REFUSED_MS), MOST_REFUSED_MS) : UNDECIDED_MS
-    // The limit may have ended while the decision was on its way.
+    const pauseMs = result.outcome === LimitOutcome.Refused ? Math.min(Math.max(result.retryAt - now, MIN_REFUSED_MS), MAX_REFUSED_MS) : UNDECIDED_RETRY_MS
+    // The limit may have ended before the decision arrived.
     server.limitedUntil = this.stated.of(server.hash) ? now + pauseMs : 0
     log.serverLimitRefused(exchange, id, limit, result, now)
     return LimitAdmission.Refused
   }
 
-  private learnHere (server: KnownServer, perSecond: number | undefined, at: number): void {
-    const change = this.learn(server, perSecond, at)
+  private recordOwnObservation (server: KnownServer, perSecond: number | undefined, at: number): void {
+    const change = this.recordLimit(server, perSecond, at)
     if (change && isUrgent(change)) {
       this.options.onUrgent()
     }
   }
 
-  private learn (server: KnownServer, perSecond: number | undefined, at: number): LimitChange | undefined {
+  private recordLimit (server: KnownServer, perSecond: number | undefined, at: number): LimitChange | undefined {
     const change = this.stated.observe(server.hash, perSecond, at)
     if (change) {
       server.limitedUntil = 0
@@ -165,5 +165,5 @@
 }
 
 function isUrgent ({ before, after }: LimitChange): boolean {
-  return before === undefined || after === undefined || after < before * (1 - URGENT_FALL)
+  return before === undefined || after === undefined || after < before * (1 - URGENT_DECREASE)
 }
--- a/packages/foxtaillever-relay/src/peers/beatContents.ts
+++ b/packages/foxtaillever-relay/src/peers/beatContents.ts
@@ -36,14 +36,14 @@
     named: office.desk.ages(),
     current: office.desk.current(),
     speeds: directory.speedsToTell(),
-    limits: limits.news()
+    limits: limits.updates()
   }
 }
 
 export function takePeerMessage (parts: BeatParts, { address, lease, suspects, named, current, speeds, limits, ...caches }: PeerMessage): void {
   const { clock, desk, peers, office } = parts
   desk.observeInstances(peers.count())
-  desk.limits.hear(limits)
+  desk.limits.applyUpdates(limits)
   parts.suspects.hear(suspects, clock.now())
   desk.caches.hear(address, caches)
   takeWeightsNotice(office, { news: [], lease })
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -203,7 +203,7 @@
       onNotice: notice => this.knowledge.hear(notice),
       onWeights: notice => takeWeightsNotice(this.office, notice),
       onLeaseCall: (request, search, response) => this.lendLease(request, search, response),
-      onLimit: message => this.limits[message.scope].hear(message),
+      onLimit: message => this.limits[message.scope].receive(message),
       isLeaving: () => this.isLeaving,
       processStartedAt: clock.now() - process.uptime() * 1000
     })
--- a/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
+++ b/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
@@ -71,7 +71,7 @@
   private readonly statements = ServerStatements.create({
     clock: this.clock,
     directory: this.directory,
-    limits: { observe: () => {} },
+    limits: { applyStatement: () => {} },
     onRestAsked: () => {},
     log: { saysItLeaves: () => {}, asksForRest: () => {}, restUnreadable: () => {} }
   })
--- a/packages/foxtaillever-relay/src/servers/serverStatements.ts
+++ b/packages/foxtaillever-relay/src/servers/serverStatements.ts
@@ -9,7 +9,7 @@
 export interface ServerStatementsOptions {
   readonly clock: Clock
   readonly directory: Pick<ServerDirectory, 'get' | 'observeLeaving' | 'newestStated'>
-  readonly limits: Pick<ServerLimits, 'observe'>
+  readonly limits: Pick<ServerLimits, 'applyStatement'>
   /** The others would be asked next. */
   readonly onRestAsked: (server: KnownServer) => void
   readonly log: Pick<RelayLog, 'saysItLeaves' | 'asksForRest' | 'restUnreadable'>
@@ -32,7 +32,7 @@
     if (serverId !== undefined && serverId !== id) {
       return
     }
-    limits.observe(directory.get(id) ?? server, statement, sentAt)
+    limits.applyStatement(directory.get(id) ?? server, statement, sentAt)
     if (isLeaving) {
       log.saysItLeaves(id, requestId, directory.observeLeaving(id, now))
     }
