--- a/packages/foxtaillever-relay/src/limits/__fixtures__/limitHistory.ts
+++ b/packages/foxtaillever-relay/src/limits/__fixtures__/limitHistory.ts
@@ -1,7 +1,7 @@
 /** A history of a fleet that shares limits, drawn from a seed: faults, members and limits change while an account exceeds its limit. */
 import { SeededRandom, type Random } from 'foxtaillever-core'
 import type { SharedLimit } from 'foxtaillever-policy/limits/sharedLimitBook'
-import { LimitFleet, quotas, type LimitSubject, type FleetNode } from './limitFleet.js'
+import { LimitFleet, quotas, type FleetNode, type LimitSubject } from './limitFleet.js'
 
 const ACCOUNT = 'acme'
 
--- a/packages/foxtaillever-relay/src/limits/limitProtocol.ts
+++ b/packages/foxtaillever-relay/src/limits/limitProtocol.ts
@@ -11,7 +11,7 @@
 import { SharedLimitBook, LimitOutcome, LimitRole, RENEWAL_MS, type LimitClaim, type LimitTolerance, type ReturnOrder } from 'foxtaillever-policy/limits/sharedLimitBook'
 import { DatagramKind } from '../peers/datagram.js'
 import { PassedOver, type PassedOverOptions } from '../peers/passedOver.js'
-import { LimitScope, type LimitResponse, type LimitMessage, type LimitRequest } from './limitMessage.js'
+import { LimitScope, type LimitMessage, type LimitRequest, type LimitResponse } from './limitMessage.js'
 
 /** Wait for a response, milliseconds: a datagram travels two at most, a busy event loop delays it by tens. */
 const RESPONSE_TIMEOUT_MS = 50
@@ -50,6 +50,7 @@
 export interface LimitKind {
   readonly scope: LimitScope
   readonly tolerance: LimitTolerance
+  /** How refused claims are spread over time: successive retry times, or first come, first served. */
   readonly retryOrder: ReturnOrder
   /** Longest wait for a decision, milliseconds. */
   readonly maxWaitMs: number
