--- a/packages/foxtaillever-relay/src/peers/beatContents.ts
+++ b/packages/foxtaillever-relay/src/peers/beatContents.ts
@@ -3,7 +3,7 @@
 import type { CrashSuspects } from '../exchange/crashSuspects.js'
 import type { ExchangeDesk } from '../exchange/exchangeDesk.js'
 import type { Knowledge } from '../knowledge/knowledge.js'
-import type { OrderOffice } from '../weights/orderOffice.js'
+import type { OrderCoordinator } from '../weights/orderCoordinator.js'
 import type { PeerMessage } from './peerMessage.js'
 import type { OwnWord, Peers } from './peers.js'
 import type { WeightsNotice } from './weightsNotice.js'
@@ -15,7 +15,7 @@
   readonly suspects: CrashSuspects
   readonly peers: Peers
   readonly knowledge: Knowledge
-  readonly office: OrderOffice
+  readonly office: OrderCoordinator
   readonly isLeaving: boolean
   /** Of the configuration in force; -1 before the first. */
   readonly revision: number
@@ -28,13 +28,13 @@
     hasStore: knowledge.hasStore,
     positions: knowledge.positions,
     revision,
-    lease: office.lease.news(),
+    lease: office.lease.snapshot(),
     uses: caches.uses(),
     sums: peers.loads.sums(directory.all().map(({ hash }) => hash)),
     suspects: suspects.toTell(clock.now()),
     ...caches.word(),
-    named: office.desk.ages(),
-    current: office.desk.current(),
+    named: office.rollout.versionAges(),
+    current: office.rollout.currentEngines(),
     speeds: directory.speedsToTell(),
     limits: limits.updates()
   }
@@ -48,13 +48,13 @@
   desk.caches.hear(address, caches)
   takeWeightsNotice(office, { news: [], lease })
   speeds.forEach(({ service, ...word }) => desk.directory.experience.prefillSpeedOf(service).hear(word))
-  named.forEach(news => office.desk.observeNamed(news))
-  current.forEach(news => office.desk.observeCurrent(news))
+  named.forEach(news => office.rollout.applyVersion(news))
+  current.forEach(news => office.rollout.applyCurrentEngines(news))
 }
 
-export function takeWeightsNotice ({ lease: own, desk }: OrderOffice, { news, lease }: WeightsNotice): void {
+export function takeWeightsNotice ({ lease: own, rollout: desk }: OrderCoordinator, { news, lease }: WeightsNotice): void {
   if (lease) {
-    own.observe(lease)
+    own.applySnapshot(lease)
   }
-  news.forEach(one => desk.observe(one))
+  news.forEach(one => desk.applyUpdate(one))
 }
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -22,7 +22,7 @@
 import { LimitScope } from './limits/limitMessage.js'
 import { RelayLog } from './telemetry/relayLog.js'
 import { RelayState } from './telemetry/relayState.js'
-import { createOrderOffice, type OrderOffice } from './weights/orderOffice.js'
+import { createOrderCoordinator, type OrderCoordinator } from './weights/orderCoordinator.js'
 
 /** The balancer notices within two seconds that this instance is not ready; until then it sends new connections, milliseconds. */
 const STOP_LISTENING_MS = 2600
@@ -52,7 +52,7 @@
   private readonly memberBook: MemberBook
   private readonly peers: Peers
   private readonly limits: LimitProtocols
-  private readonly office: OrderOffice
+  private readonly office: OrderCoordinator
   private readonly startCheck = StartCheck.create()
   private table: RouteTable | undefined
   private isLeaving = false
@@ -126,7 +126,7 @@
       await waitUntil(clock, clock.now() + SHUTDOWN_LOOK_MS)
     }
     this.desk.runs.abort()
-    this.office.desk.stop()
+    this.office.rollout.stop()
     this.desk.caches.watch.stop()
     this.knowledge.stop()
     this.readiness.close()
@@ -167,11 +167,11 @@
       limitProtocol: () => this.limits[LimitScope.Server],
       onLimitChanged: () => this.peers.tellSoon(),
       onStoreRestarted: () => this.peers.loads.forgetSaved(),
-      weights: { outdatedSince: (model, version) => this.office.desk.outdatedSince(model, version) },
+      weights: { outdatedSince: (model, version) => this.office.rollout.outdatedSince(model, version) },
       routing: () => this.table?.routing,
-      onServerChanged: () => this.office.desk.run(),
+      onServerChanged: () => this.office.rollout.ensureRunning(),
       onMisdirected: ({ server, serverId, expectedWeights }, { prompt }, failure) =>
-        this.office.desk.observeRefusal(server, prompt?.model, failure.serverId === serverId ? expectedWeights : undefined)
+        this.office.rollout.handleRefusal(server, prompt?.model, failure.serverId === serverId ? expectedWeights : undefined)
     })
   }
 
@@ -191,7 +191,7 @@
       failureDomain,
       ...peers,
       word: () => createOwnWord(this.beatParts()),
-      lease: () => this.office.lease.news(),
+      lease: () => this.office.lease.snapshot(),
       tell: (topic, from) => this.knowledge.tell(topic, from),
       onMessage: message => takePeerMessage(this.beatParts(), message),
       ownUses: () => ownUses(this.desk.directory.all()),
@@ -217,7 +217,7 @@
       peers: this.peers,
       revision: () => this.revision,
       onRouting: routing => this.adopt(routing),
-      onWeights: (model, version, isStart) => this.office.desk.name(model, version, isStart),
+      onWeights: (model, version, isStart) => this.office.rollout.addVersion(model, version, isStart),
       onRestored: () => this.note(this.memberBook.enterAgain())
     })
   }
@@ -242,15 +242,15 @@
     })
   }
 
-  private createOffice (): OrderOffice {
+  private createOffice (): OrderCoordinator {
     const { log, peers, desk: { directory } } = this
-    return createOrderOffice({
+    return createOrderCoordinator({
       ...this.options,
       topic: this.options.topics.lease,
       directory,
       peers,
       log,
-      isFit: () => this.knowledge.hasStore && !this.isLeaving,
+      isEligible: () => this.knowledge.hasStore && !this.isLeaving,
       onStoreFailed: () => this.knowledge.doubt()
     })
   }
@@ -293,7 +293,7 @@
     this.table = RouteTable.create(routing)
     this.desk.directory.configure(routing)
     this.callers.setLimits(routing.limits)
-    this.office.desk.run()
+    this.office.rollout.ensureRunning()
     this.log.belief('A configuration is in force.', { revision: routing.revision, before, routes: routing.routes.length })
   }
 }
--- a/packages/foxtaillever-relay/src/servers/serverChoice.ts
+++ b/packages/foxtaillever-relay/src/servers/serverChoice.ts
@@ -7,7 +7,7 @@
 import type { CacheStore } from '../model/routing.js'
 import type { LevelSupply } from '../cache/levelSupply.js'
 import type { FleetUse } from '../peers/fleetUse.js'
-import type { WeightsDesk } from '../weights/weightsDesk.js'
+import type { WeightsRollout } from '../weights/weightsRollout.js'
 import type { KnownServer } from './knownServer.js'
 import type { ServerDirectory } from './serverDirectory.js'
 import { opensAt } from './serverOpening.js'
@@ -64,7 +64,7 @@
   readonly use: Pick<FleetUse, 'of'>
   /** How the levels of a prompt would come to an engine. */
   readonly levelSupply: (exchange: Exchange) => LevelSupply
-  readonly weights: Pick<WeightsDesk, 'outdatedSince'>
+  readonly weights: Pick<WeightsRollout, 'outdatedSince'>
   /** After new weights were named no request may begin on older ones, milliseconds. */
   readonly weightsBoundMs: number
 }
--- a/packages/foxtaillever-relay/src/telemetry/relayState.ts
+++ b/packages/foxtaillever-relay/src/telemetry/relayState.ts
@@ -64,7 +64,7 @@
       open: open(),
       configuration: { revision, routes: routes.map(route => route.name), accounts: accounts.map(account => account.name) },
       store: { answers: knowledge().hasStore, era: knowledge().storeEra, positions: { operators: formatPosition(operators), servers: formatPosition(read) } },
-      lease: { isHeld: lease().fence() !== undefined, ...lease().news() },
+      lease: { isHeld: lease().fence() !== undefined, ...lease().snapshot() },
       servers: directory.all().map(server => this.describe(server, now)),
       reading: Object.fromEntries([...directory.experience.prefillSpeeds].map(([service, { tokensPerMs, samples }]) => [service, { tokensPerMs, samples }])),
       instances: peers().table.all().map(({ address, last, heardAt }) => ({ address, name: last?.name, failureDomain: last?.failureDomain, heardMsAgo: now - heardAt }))
--- a/packages/foxtaillever-relay/src/weights/__fixtures__/fakeEngines.ts
+++ b/packages/foxtaillever-relay/src/weights/__fixtures__/fakeEngines.ts
@@ -1,4 +1,4 @@
-/** Engines that take orders as real ones do: fenced, sequenced, some seconds late without an answer; and report late. */
+/** Fake engines that accept orders as real ones do: fenced and sequenced; some orders get no answer and are carried out seconds later. Reports are late. */
 import { Failure, FailureCode, Verdict, waitUntil, type Clock, type Random } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
 import type { KnownServer } from '../../servers/knownServer.js'
@@ -7,11 +7,11 @@
 const LOAD_MS = 420
 const REPORT_AGE_MS = 200
 const CALL_MS = 1
-const UNANSWERED_MS = 500
-const LEAST_LATE_MS = 2000
-const MOST_LATE_MS = 12_000
-/** At an engine that has any. */
-const LONG_RUNS = 6
+const RESPONSE_TIMEOUT_MS = 500
+const MIN_LATE_MS = 2000
+const MAX_LATE_MS = 12_000
+/** Long runs at an engine that has any. */
+const LONG_RUN_COUNT = 6
 
 interface FakeEngine {
   /** Milliseconds of Unix time. */
@@ -21,12 +21,12 @@
   fence: number
   busyUntil: number
   wanted: number
-  /** Until when the last run lasts, milliseconds of Unix time. */
+  /** When the last run ends, milliseconds of Unix time. */
   runsUntil: number
 }
 
-/** An order that reached an engine. */
-export interface ArrivedOrder extends WeightsOrder {
+/** An order that an engine received. */
+export interface ReceivedOrder extends WeightsOrder {
   readonly at: number
   readonly engine: string
   readonly wasRunning: boolean
@@ -37,16 +37,16 @@
   readonly random: Random
   readonly model: string
   readonly ids: readonly string[]
-  /** Share of the orders that get no answer and come late; may change on the way. */
+  /** Share of the orders that get no answer and are carried out late; may change during a test. */
   lateShare: number
 }
 
-function unanswered (): Failure {
+function createTimeout (): Failure {
   return Failure.create(FailureCode.ConnectionLost, Verdict.MayHaveRun, 'no answer in time')
 }
 
 export class FakeEngines implements EngineOrders {
-  readonly arrived: ArrivedOrder[] = []
+  readonly receivedOrders: ReceivedOrder[] = []
   private readonly engines = new Map<string, FakeEngine>()
 
   private constructor (readonly options: FakeEnginesOptions) {
@@ -61,17 +61,17 @@
     return [...this.engines.keys()].map(id => this.get(id).version)
   }
 
-  /** Engines that load at the moment. */
+  /** Number of engines that are loading weights. */
   get loading (): number {
     return [...this.engines.values()].filter(({ busyUntil }) => busyUntil > this.options.clock.now()).length
   }
 
-  /** Requests that the fleet has there. */
+  /** Outstanding requests of the fleet at the engine. */
   outstandingAt (id: string): number {
-    return this.get(id).runsUntil > this.options.clock.now() ? LONG_RUNS : 0
+    return this.get(id).runsUntil > this.options.clock.now() ? LONG_RUN_COUNT : 0
   }
 
-  /** It starts again under its id, with the weights that it had; sequence and fence are those of a new engine. */
+  /** Restarts an engine under its id with the weights that it had; sequence and fence are those of a new engine. */
   restart (id: string): FakeEngine {
     const engine = this.get(id)
     const now = this.options.clock.now()
@@ -86,19 +86,19 @@
     const { clock, model } = this.options
     const { startedAt, version, busyUntil, sequence, runsUntil } = this.get(listed.id)
     const now = clock.now()
-    // What is told next time was true some hundred milliseconds before.
-    const seen = { startedAt, weights: new Map([[model, version]]), isBusy: busyUntil > now, sequence, running: runsUntil > now - REPORT_AGE_MS ? LONG_RUNS : 0 }
+    // Reports describe the state some hundred milliseconds ago.
+    const report = { startedAt, weights: new Map([[model, version]]), isBusy: busyUntil > now, sequence, running: runsUntil > now - REPORT_AGE_MS ? LONG_RUN_COUNT : 0 }
     await waitUntil(clock, now + CALL_MS)
-    return Right(seen)
+    return Right(report)
   }
 
   async order ({ listed }: KnownServer, order: WeightsOrder): Promise<Either<Failure, OrderAnswer>> {
     const { clock, random, lateShare } = this.options
-    this.arrived.push({ ...order, at: clock.now(), engine: listed.id, wasRunning: this.get(listed.id).runsUntil > clock.now() })
+    this.receivedOrders.push({ ...order, at: clock.now(), engine: listed.id, wasRunning: this.get(listed.id).runsUntil > clock.now() })
     if (random.next() < lateShare) {
-      clock.at(clock.now() + LEAST_LATE_MS + random.below(MOST_LATE_MS - LEAST_LATE_MS), () => { this.carryOut(listed.id, order) })
-      await waitUntil(clock, clock.now() + UNANSWERED_MS)
-      return Left(unanswered())
+      clock.at(clock.now() + MIN_LATE_MS + random.below(MAX_LATE_MS - MIN_LATE_MS), () => { this.carryOut(listed.id, order) })
+      await waitUntil(clock, clock.now() + RESPONSE_TIMEOUT_MS)
+      return Left(createTimeout())
     }
     await waitUntil(clock, clock.now() + CALL_MS)
     return Right(this.carryOut(listed.id, order))
--- a/packages/foxtaillever-relay/src/weights/__fixtures__/orderingFleet.ts
+++ b/packages/foxtaillever-relay/src/weights/__fixtures__/orderingFleet.ts
@@ -1,4 +1,4 @@
-/** Several instances that order weights, over one store, with engines; instances freeze, are cut off and hear each other or not. */
+/** Several instances that order weights, with one store and fake engines; instances can freeze, be partitioned and lose datagrams. */
 import { hashNumber, SeededRandom, waitUntil, type Cancellation, type Clock } from 'foxtaillever-core'
 import { Logs } from 'foxtaillever-telemetry'
 import { VirtualClock } from 'foxtaillever-testing'
@@ -8,13 +8,13 @@
 import { ServerDirectory } from '../../servers/serverDirectory.js'
 import { RelayLog } from '../../telemetry/relayLog.js'
 import type { FenceLog } from '../fenceLog.js'
-import { LentFenceLog } from '../lentFenceLog.js'
+import { ProxiedFenceLog } from '../proxiedFenceLog.js'
 import { OrderLease } from '../orderLease.js'
-import { WeightsDesk } from '../weightsDesk.js'
+import { WeightsRollout } from '../weightsRollout.js'
 import { FakeEngines } from './fakeEngines.js'
-import { FakeFenceLog, type Weather } from './fakeFenceLog.js'
+import { FakeFenceLog, type StoreConditions } from './fakeFenceLog.js'
 
-/** The configuration has the engines' service. */
+/** A configuration with the engines' service. */
 const routing: Routing = {
   revision: 1,
   routes: [],
@@ -26,21 +26,21 @@
 
 export const MODEL = 'model'
 export const PAUSE_MS = 3000
-const BEAT_MS = 1000
+const HEARTBEAT_MS = 1000
 const DATAGRAM_MS = 1
-const USUALLY_LOST = 0.05
-/** Until a new entry of the list is read, milliseconds at most. */
-const LISTED_MS = 2000
+const USUAL_LOST_SHARE = 0.05
+/** Longest delay until an instance reads a new entry of the list, milliseconds. */
+const MAX_LISTING_DELAY_MS = 2000
 
-/** The clock of a machine that can freeze: its tasks come when it has thawed. Suspended, its steady clock stands still meanwhile. */
+/** The clock of a machine that can freeze: tasks that fall due meanwhile run after it resumes. While it is suspended, its steady clock is paused too. */
 class FreezableClock implements Clock {
   private frozenUntil = 0
-  private stoodStillMs = 0
+  private suspendedMs = 0
 
   constructor (private readonly base: Clock) {}
 
   now (): number {
-    return this.base.now() - this.stoodStillMs
+    return this.base.now() - this.suspendedMs
   }
 
   at (deadline: number, task: () => void): Cancellation {
@@ -52,16 +52,16 @@
       }
       task()
     }
-    cancel = this.base.at(deadline + this.stoodStillMs, run)
+    cancel = this.base.at(deadline + this.suspendedMs, run)
     return () => cancel()
   }
 
   freeze (forMs: number, isSuspended: boolean): void {
     this.frozenUntil = this.base.now() + forMs
-    this.stoodStillMs += isSuspended ? forMs : 0
+    this.suspendedMs += isSuspended ? forMs : 0
   }
 
-  /** An answer that came meanwhile is read after the thaw. */
+  /** Delays an answer that arrives during a freeze until the machine resumes. */
   async read<T> (answer: Promise<T>): Promise<T> {
     const value = await answer
     if (this.base.now() < this.frozenUntil) {
@@ -72,22 +72,22 @@
 }
 
 export class Instance {
-  readonly weather: Weather = { lostShare: 0, isDown: false }
+  readonly storeConditions: StoreConditions = { lostShare: 0, isDown: false }
   readonly clock: FreezableClock
   readonly directory = ServerDirectory.create({ onChanged: () => {} })
   readonly lease: OrderLease
-  readonly desk: WeightsDesk
+  readonly rollout: WeightsRollout
   /** The store as this instance reaches it by itself. */
   readonly storeLog: FenceLog
-  /** Hears nothing and is not heard. */
-  isCut = false
+  /** Neither receives nor sends datagrams. */
+  isPartitioned = false
 
   constructor (private readonly fleet: OrderingFleet, readonly name: string) {
     const { clock, store, engines } = fleet
     const own = new FreezableClock(clock)
     this.clock = own
-    this.storeLog = store.through(this.weather)
-    const log = LentFenceLog.create({ clock: own, random: fleet.random, own: this.storeLog, lenders: () => fleet.lendersTo(this), through: name => fleet.logThrough(this, name), onFailed: () => {} })
+    this.storeLog = store.through(this.storeConditions)
+    const log = ProxiedFenceLog.create({ clock: own, random: fleet.random, own: this.storeLog, proxies: () => fleet.proxiesFor(this), through: name => fleet.logThrough(this, name), onFailed: () => {} })
     const uptime = (): number => clock.now() / 1000
     this.lease = OrderLease.create({
       clock: this.clock,
@@ -96,11 +96,11 @@
       holder: name,
       incarnation: name,
       pauseMs: PAUSE_MS,
-      onChanged: news => fleet.send(this, news),
-      onReleased: () => fleet.send(this, this.lease.news()),
+      onChanged: snapshot => fleet.send(this, snapshot),
+      onReleased: () => fleet.send(this, this.lease.snapshot()),
       log: { append: async (...call) => await own.read(log.append(...call)), readAt: async (...call) => await own.read(log.readAt(...call)) }
     })
-    this.desk = WeightsDesk.create({
+    this.rollout = WeightsRollout.create({
       clock: this.clock,
       holder: name,
       directory: this.directory,
@@ -110,30 +110,30 @@
       rank: () => fleet.rankOf(this),
       outstandingAt: ({ listed }) => engines.outstandingAt(listed.id),
       waitMsAt: () => fleet.waitMs,
-      tell: news => fleet.send(this, undefined, news)
+      announce: updates => fleet.send(this, undefined, updates)
     })
     this.directory.configure(routing)
     engines.options.ids.forEach((id, offset) => this.list(id, 1, 1, offset))
-    this.beat()
+    this.heartbeat()
   }
 
-  /** The list has an entry of an engine. */
+  /** Adds an entry of an engine to this instance's list. */
   list (id: string, startedAt: number, version: number, offset: number): void {
     this.directory.observe({
       id, startedAt, service: 'engines', address: '127.0.0.1:1', failureDomain: 'a', slots: 48, state: ServerState.Ready, coldLeftMs: 0, weights: new Map([[MODEL, version]])
     }, offset)
   }
 
-  hear (lease: LeaseNews | undefined, news: readonly WeightsNews[]): void {
+  receive (lease: LeaseNews | undefined, updates: readonly WeightsNews[]): void {
     if (lease) {
-      this.lease.observe(lease)
+      this.lease.applySnapshot(lease)
     }
-    news.forEach(one => this.desk.observe(one))
+    updates.forEach(update => this.rollout.applyUpdate(update))
   }
 
-  private beat (): void {
-    this.fleet.send(this, this.lease.news())
-    this.clock.at(this.clock.now() + BEAT_MS, () => this.beat())
+  private heartbeat (): void {
+    this.fleet.send(this, this.lease.snapshot())
+    this.clock.at(this.clock.now() + HEARTBEAT_MS, () => this.heartbeat())
   }
 }
 
@@ -143,12 +143,12 @@
   readonly engines: FakeEngines
   readonly store: FakeFenceLog
   readonly instances: Instance[]
-  /** Of the next entry of the list. */
+  /** Offset of the next entry of the list. */
   private offset = 1000
-  /** How long prompts wait at each engine, milliseconds; may change on the way. */
+  /** How long prompts wait at each engine, milliseconds; may change during a test. */
   waitMs = 0
-  /** Share of the datagrams that are lost; may change on the way. */
-  lostShare = USUALLY_LOST
+  /** Share of the datagrams that are lost; may change during a test. */
+  lostShare = USUAL_LOST_SHARE
 
   private constructor (seed: number, engines: number, instances: number) {
     this.random = SeededRandom.create(seed)
@@ -163,42 +163,42 @@
     return new OrderingFleet(seed, engines, instances)
   }
 
-  /** Operators name a version; every instance that reaches the store learns it. */
+  /** Operators name a version; every instance learns it after a short random delay. */
   name (version: number): void {
-    this.instances.forEach(({ clock, desk }) => clock.at(clock.now() + this.random.below(BEAT_MS / 10), () => desk.name(MODEL, version)))
+    this.instances.forEach(({ clock, rollout }) => clock.at(clock.now() + this.random.below(HEARTBEAT_MS / 10), () => rollout.addVersion(MODEL, version)))
   }
 
-  /** An engine starts again under its id; each instance reads so in the list after a while. */
+  /** Restarts an engine under its id; each instance reads this in the list after a while. */
   restart (id: string): void {
     const { startedAt, version } = this.engines.restart(id)
     const offset = this.offset++
-    this.instances.forEach(instance => instance.clock.at(this.clock.now() + this.random.below(LISTED_MS), () => instance.list(id, startedAt, version, offset)))
+    this.instances.forEach(instance => instance.clock.at(this.clock.now() + this.random.below(MAX_LISTING_DELAY_MS), () => instance.list(id, startedAt, version, offset)))
   }
 
-  /** Datagrams, of which some are lost. */
-  send (from: Instance, lease: LeaseNews | undefined, news: readonly WeightsNews[] = []): void {
-    for (const other of this.instances.filter(instance => instance !== from && !instance.isCut && !from.isCut)) {
+  /** Sends datagrams to all other instances; some are lost. */
+  send (from: Instance, lease: LeaseNews | undefined, updates: readonly WeightsNews[] = []): void {
+    for (const other of this.instances.filter(instance => instance !== from && !instance.isPartitioned && !from.isPartitioned)) {
       if (this.random.next() >= this.lostShare) {
-        other.clock.at(this.clock.now() + DATAGRAM_MS, () => other.hear(lease, news))
+        other.clock.at(this.clock.now() + DATAGRAM_MS, () => other.receive(lease, updates))
       }
     }
   }
 
-  /** Names of the others that the store answers, as far as the instance knows. */
-  lendersTo (instance: Instance): string[] {
-    return this.instances.filter(other => other !== instance && !other.weather.isDown).map(({ name }) => name)
+  /** Names of the other instances that reach the store. */
+  proxiesFor (instance: Instance): string[] {
+    return this.instances.filter(other => other !== instance && !other.storeConditions.isDown).map(({ name }) => name)
   }
 
-  /** The store by way of another instance; nothing answers where one of both is cut off. */
+  /** The store through another instance; unreachable if either of the two is partitioned. */
   logThrough (from: Instance, name: string): FenceLog {
     const other = this.instances.find(instance => instance.name === name) ?? from
-    const isDown = from.isCut || other.isCut
+    const isDown = from.isPartitioned || other.isPartitioned
     return isDown ? this.store.through({ lostShare: 0, isDown }) : other.storeLog
   }
 
   rankOf (instance: Instance): number {
     const last = instance.lease.lastHolder
-    const order = [...this.instances].sort((one, other) => Number(other.name === last) - Number(one.name === last) || hashNumber(one.name) - hashNumber(other.name))
-    return instance.weather.isDown ? this.instances.length : order.indexOf(instance)
+    const order = [...this.instances].sort((a, b) => Number(b.name === last) - Number(a.name === last) || hashNumber(a.name) - hashNumber(b.name))
+    return instance.storeConditions.isDown ? this.instances.length : order.indexOf(instance)
   }
 }
--- a/packages/foxtaillever-relay/src/weights/engineChange.ts
+++ b/packages/foxtaillever-relay/src/weights/engineChange.ts
@@ -1,9 +1,9 @@
 /**
- * One engine on its way to new weights, as the one who gives orders sees it:
- * steered, then ordered, until a report shows the weights. An order is a wanted
- * state: whether it was lost, refused or comes late, the engine's reports decide
- * what is done next, and an order names the sequence of the report before it,
- * so that one that comes late does nothing.
+ * The change of one engine to new weights, as the instance that gives orders
+ * tracks it. The engine is steered first, which means that it gets no new work, and
+ * then ordered, until a report shows the weights. An order states a wanted state:
+ * whether it was lost, refused or delayed, the engine's reports decide the next step.
+ * An order names the sequence of the last report, so that a late order has no effect.
  */
 import type { Clock } from 'foxtaillever-core'
 import { LEAST_STEERED_MS, RolloutPhase } from 'foxtaillever-policy/relay/planRollout'
@@ -12,32 +12,32 @@
 import type { RelayLog } from '../telemetry/relayLog.js'
 import { OrderAnswer, type EngineOrders, type EngineReport } from './engineOrders.js'
 
-/** Reports are that old, milliseconds: what one says of work counts only when it was asked that long after the steering. */
+/** Age of a report's contents, milliseconds: its number of running requests is used only if the report was requested at least this long after the steering. */
 const REPORT_AGE_MS = 200
 
-/** Between two looks at an engine that is steered, milliseconds. */
-const STEERED_LOOK_MS = 250
+/** Interval between two polls of a steered engine, milliseconds. */
+const STEERED_CHECK_INTERVAL_MS = 250
 
-/** Weights load in 420 and reports are late: no look earlier than this after an order, milliseconds. */
-const FIRST_WATCH_MS = 500
+/** Delay between an order and the first poll, milliseconds: weights load in 420, and reports are late. */
+const FIRST_CHECK_DELAY_MS = 500
 
-/** Between two looks at an engine that loads, milliseconds. */
-const WATCH_MS = 100
+/** Interval between two polls of an engine that loads weights, milliseconds. */
+const LOADING_CHECK_INTERVAL_MS = 100
 
-/** Looks in a row at an idle engine without the weights, after which the order counts as lost. */
-const IDLE_LOOKS = 4
+/** The order counts as lost after this many consecutive reports of an idle engine without the weights. */
+const MAX_IDLE_CHECKS = 4
 
-/** The same where no answer came: what was carried out shows by now, and the engine stands idle. */
-const UNANSWERED_IDLE_LOOKS = 2
+/** The same if the order got no answer: an order that was carried out shows by then, and the engine is idle meanwhile. */
+const MAX_UNANSWERED_IDLE_CHECKS = 2
 
-/** An order that has not shown in the reports by then counts as lost, milliseconds. */
-const LONGEST_CHANGE_MS = 4000
+/** An order whose weights are not reported within this time counts as lost, milliseconds. */
+const MAX_CHANGE_MS = 4000
 
-/** Reports in a row that do not come from an engine that is likely down. */
-const UNHEARD_REPORTS = 2
+/** An engine that misses this many reports in a row is likely down. */
+const MAX_MISSED_REPORTS = 2
 
-/** Before an engine that refused an order or did not report is asked again, milliseconds. */
-const AGAIN_MS = 300
+/** Delay before another request to an engine that refused an order or did not report, milliseconds. */
+const RETRY_MS = 300
 
 export interface EngineChangeOptions {
   readonly clock: Clock
@@ -48,18 +48,18 @@
   readonly log: RelayLog
   /** The engine reported these weights. */
   readonly onWeights: (version: number) => void
-  /** Whether the engine that started then is the one steered; one that started again since is another. */
-  readonly isSameStart: (startedAt: number) => boolean
-  /** Another holder gave orders with a higher fencing number. */
+  /** Whether the engine that started at that time is the incarnation that was steered. */
+  readonly isSameIncarnation: (startedAt: number) => boolean
+  /** The engine has seen a higher fencing number, of another holder. */
   readonly onFenced: () => void
   /** Another server has the engine's address. */
   readonly onDisplaced: () => void
 }
 
-/** Whether an engine comes into question for new weights; others go before one that does not answer or wants rest. */
+/** Whether an engine can get new weights now. An engine that does not respond or is backing off waits; others go first. */
 export function canBeChanged (engine: KnownServer, change: EngineChange | undefined, now: number): boolean {
-  const isResting = reachableFrom(engine) > now
-  return change?.isUnheard !== true && (!isResting || change?.phase === RolloutPhase.Ordered)
+  const isBackingOff = reachableFrom(engine) > now
+  return change?.isUnresponsive !== true && (!isBackingOff || change?.phase === RolloutPhase.Ordered)
 }
 
 export interface OrderTerms {
@@ -70,21 +70,21 @@
 export class EngineChange {
   readonly steeredAt: number
   private report: EngineReport | undefined
-  /** Of the report in hand, milliseconds of Unix time. */
-  private reportAskedAt = 0
-  /** When the order left, milliseconds of Unix time; undefined without one. */
+  /** When the current report was requested, milliseconds of Unix time. */
+  private reportRequestedAt = 0
+  /** When the order was sent, milliseconds of Unix time; undefined without an order. */
   orderedAt: number | undefined
   private orderedVersion = Infinity
-  private idleLooks = 0
+  private idleChecks = 0
   private wasAccepted = false
-  private lookAt: number
+  private nextPollAt: number
   private isCalling = false
-  /** Reports in a row that did not come. */
-  private unheard = 0
+  /** Consecutive reports that did not arrive. */
+  private missedReports = 0
 
   private constructor (private readonly options: EngineChangeOptions) {
     this.steeredAt = options.clock.now()
-    this.lookAt = this.steeredAt
+    this.nextPollAt = this.steeredAt
   }
 
   static create (options: EngineChangeOptions): EngineChange {
@@ -99,44 +99,44 @@
     return this.orderedAt !== undefined || this.report?.isBusy === true ? RolloutPhase.Ordered : RolloutPhase.Steered
   }
 
-  /** It does not answer, as one that crashed: waiting for it, others could be changed. */
-  get isUnheard (): boolean {
-    return this.unheard >= UNHEARD_REPORTS
+  /** The engine does not answer and may have crashed; others can be changed meanwhile. */
+  get isUnresponsive (): boolean {
+    return this.missedReports >= MAX_MISSED_REPORTS
   }
 
-  /** Requests that the engine has, by a report made after the steering; undefined without one. */
+  /** Requests at the engine by a report made after the steering; undefined without such a report. */
   get running (): number | undefined {
-    return this.reportAskedAt >= this.steeredAt + REPORT_AGE_MS ? this.report?.running : undefined
+    return this.reportRequestedAt >= this.steeredAt + REPORT_AGE_MS ? this.report?.running : undefined
   }
 
-  /** Whether the engine has what it was ordered to have. */
+  /** Whether the version is the ordered one or newer. */
   hasCarriedOut (version: number): boolean {
     return version >= this.orderedVersion
   }
 
-  /** Asks for a report when one is due. */
-  async look (): Promise<void> {
-    const { clock, orders, engine, model, onWeights, isSameStart } = this.options
-    const askedAt = clock.now()
-    if (this.isCalling || askedAt < this.lookAt || reachableFrom(engine) > askedAt) {
+  /** Requests a report if one is due. */
+  async pollReport (): Promise<void> {
+    const { clock, orders, engine, model, onWeights, isSameIncarnation } = this.options
+    const requestedAt = clock.now()
+    if (this.isCalling || requestedAt < this.nextPollAt || reachableFrom(engine) > requestedAt) {
       return
     }
     this.isCalling = true
     const answer = await orders.report(engine)
     this.isCalling = false
-    this.lookAt = clock.now() + AGAIN_MS
-    this.unheard = answer.isLeft() ? this.unheard + 1 : 0
+    this.nextPollAt = clock.now() + RETRY_MS
+    this.missedReports = answer.isLeft() ? this.missedReports + 1 : 0
     answer.ifRight(report => {
-      if (!isSameStart(report.startedAt ?? engine.listed.startedAt)) {
+      if (!isSameIncarnation(report.startedAt ?? engine.listed.startedAt)) {
         return
       }
-      this.takeReport(report, askedAt)
+      this.applyReport(report, requestedAt)
       onWeights(report.weights.get(model) ?? 0)
     })
   }
 
-  /** Gives the order if a report tells its sequence. */
-  async order ({ version, fence }: OrderTerms): Promise<void> {
+  /** Sends the order if a report has given the sequence. */
+  async sendOrder ({ version, fence }: OrderTerms): Promise<void> {
     const { clock, orders, engine, model, holder, log, onFenced, onDisplaced } = this.options
     if (this.isCalling || this.report === undefined || reachableFrom(engine) > clock.now()) {
       return
@@ -144,14 +144,14 @@
     this.isCalling = true
     this.orderedAt = clock.now()
     this.orderedVersion = version
-    this.idleLooks = 0
+    this.idleChecks = 0
     const expectedSequence = this.report.sequence
     const answer = await orders.order(engine, { model, version, holder, fence, expectedSequence })
     this.isCalling = false
     const outcome = answer.orDefault(OrderAnswer.Unknown)
     const subject = { server: engine.listed.id, model, version, fence, sequence: expectedSequence, running: this.report.running, outcome, failure: answer.swap().map(({ message }) => message).orDefault('') }
     log.belief('Ordered new weights.', subject)
-    this.takeAnswer(outcome)
+    this.applyOutcome(outcome)
     if (outcome === OrderAnswer.Fenced) {
       onFenced()
     } else if (outcome === OrderAnswer.Displaced) {
@@ -159,30 +159,30 @@
     }
   }
 
-  private takeAnswer (outcome: OrderAnswer): void {
+  private applyOutcome (outcome: OrderAnswer): void {
     const now = this.options.clock.now()
     this.wasAccepted = outcome === OrderAnswer.Accepted
     if (this.wasAccepted || outcome === OrderAnswer.Unknown) {
-      this.lookAt = this.wasAccepted ? now + FIRST_WATCH_MS : now
+      this.nextPollAt = this.wasAccepted ? now + FIRST_CHECK_DELAY_MS : now
       return
     }
     this.orderedAt = undefined
     this.report = undefined
-    this.lookAt = now + AGAIN_MS
+    this.nextPollAt = now + RETRY_MS
   }
 
-  private takeReport (report: EngineReport, askedAt: number): void {
+  private applyReport (report: EngineReport, requestedAt: number): void {
     const { clock } = this.options
     const now = clock.now()
     this.report = report
-    this.reportAskedAt = askedAt
+    this.reportRequestedAt = requestedAt
     if (this.orderedAt === undefined) {
-      this.lookAt = askedAt + (askedAt < this.steeredAt + LEAST_STEERED_MS ? LEAST_STEERED_MS : STEERED_LOOK_MS)
+      this.nextPollAt = requestedAt + (requestedAt < this.steeredAt + LEAST_STEERED_MS ? LEAST_STEERED_MS : STEERED_CHECK_INTERVAL_MS)
       return
     }
-    this.lookAt = now + WATCH_MS
-    this.idleLooks = report.isBusy ? 0 : this.idleLooks + 1
-    if (this.idleLooks >= (this.wasAccepted ? IDLE_LOOKS : UNANSWERED_IDLE_LOOKS) || now >= this.orderedAt + LONGEST_CHANGE_MS) {
+    this.nextPollAt = now + LOADING_CHECK_INTERVAL_MS
+    this.idleChecks = report.isBusy ? 0 : this.idleChecks + 1
+    if (this.idleChecks >= (this.wasAccepted ? MAX_IDLE_CHECKS : MAX_UNANSWERED_IDLE_CHECKS) || now >= this.orderedAt + MAX_CHANGE_MS) {
       this.orderedAt = undefined
     }
   }
--- a/packages/foxtaillever-relay/src/weights/engineOrders.ts
+++ b/packages/foxtaillever-relay/src/weights/engineOrders.ts
@@ -1,18 +1,18 @@
-/** The narrow interface to what engines report and take as orders. */
+/** Interface to the reports and orders of engines. */
 import type { Failure } from 'foxtaillever-core'
 import type { Either } from 'purify-ts'
 import type { KnownServer } from '../servers/knownServer.js'
 
-/** What an engine says of itself, some hundred milliseconds late. */
+/** An engine's report about itself, some hundred milliseconds old. */
 export interface EngineReport {
-  /** When it started, milliseconds of Unix time; undefined where engines do not say. */
+  /** When the engine started, milliseconds of Unix time; undefined where engines do not report it. */
   readonly startedAt: number | undefined
   readonly weights: ReadonlyMap<string, number>
-  /** An order is being carried out. */
+  /** Whether an order is being carried out. */
   readonly isBusy: boolean
-  /** Requests that run or wait there. */
+  /** Requests that run or wait at the engine. */
   readonly running: number
-  /** Orders accepted since its start; an order that expects another number is refused. */
+  /** Orders accepted since the engine started; an order that expects another number is refused. */
   readonly sequence: number
 }
 
@@ -21,25 +21,25 @@
   readonly version: number
   readonly holder: string
   readonly fence: number
-  /** Sequence of the engine's report, so that an order that comes late does nothing. */
+  /** Sequence in the engine's last report, so that a late order has no effect. */
   readonly expectedSequence: number
 }
 
 export enum OrderAnswer {
-  /** It is being carried out, or holds already. */
+  /** The order is being carried out, or the engine already has the weights. */
   Accepted = 'accepted',
-  /** Another order came first, or is being carried out. */
+  /** Another order was accepted before, or is being carried out. */
   Conflict = 'conflict',
-  /** A higher fencing number was seen: this holder is one no more. */
+  /** The engine has seen a higher fencing number: this holder has lost the lease. */
   Fenced = 'fenced',
   Refused = 'refused',
-  /** Another server has the address. */
+  /** Another server has the engine's address. */
   Displaced = 'displaced',
-  /** No answer came; the order may be carried out yet. */
+  /** No answer came; the order may still be carried out. */
   Unknown = 'unknown'
 }
 
-/** Requests that run when the order arrives go on under the new weights. */
+/** Requests that run when an order arrives continue under the new weights. */
 export interface EngineOrders {
   readonly report: (server: KnownServer) => Promise<Either<Failure, EngineReport>>
   readonly order: (server: KnownServer, order: WeightsOrder) => Promise<Either<Failure, OrderAnswer>>
--- a/packages/foxtaillever-relay/src/weights/namedWeights.ts
+++ b/packages/foxtaillever-relay/src/weights/namedWeights.ts
@@ -1,21 +1,21 @@
-/** Which weights operators named for each model, and since when older ones are replaced. */
+/** Weight versions that operators named for each model, and when each replaced the ones before it. */
 import type { NamedNews } from '../peers/peerMessage.js'
 
 /**
- * Age of weights that were learned at a process's start, milliseconds: they may
- * have been named long before, and the ones before them too. Engines with older
- * ones serve for another 2.5 s, in which other instances tell the true age.
+ * Assumed age of weights that were read from the store at the start, milliseconds:
+ * they, and the version before them, may have been named long ago. Engines with older
+ * weights serve for another 2.5 s, in which other instances announce the true age.
  */
 const ASSUMED_AGE_MS = 4000
 
-/** Versions remembered besides the newest; engines that far behind have long been excluded. */
-const MOST_NAMED = 8
+/** Versions kept besides the newest; engines further behind have long been excluded. */
+const MAX_OLDER_VERSIONS = 8
 
 export interface NamedVersion {
   readonly version: number
-  /** When it was learned, milliseconds of Unix time. */
+  /** When the version was learned, milliseconds of Unix time. */
   readonly since: number
-  /** It was named before the process started; the time is a guess. */
+  /** The version was named before the process started, so the time is a guess. */
   readonly isAssumed: boolean
 }
 
@@ -34,35 +34,35 @@
   }
 
   /**
-   * Returns whether it is news; versions only rise.
-   * @param isAssumed it was found in the store at the start, so it was named some time before
+   * Adds a version that operators named; returns whether it is new. Versions only rise.
+   * @param isAssumed the version was found in the store at the start, so it was named some time before
    */
-  name (model: string, version: number, now: number, isAssumed: boolean): boolean {
+  addVersion (model: string, version: number, now: number, isAssumed: boolean): boolean {
     if (version <= (this.newest(model)?.version ?? -1)) {
       return false
     }
     const since = isAssumed ? now - ASSUMED_AGE_MS : now
-    this.named.set(model, [...(this.named.get(model) ?? []).slice(-MOST_NAMED), { version, since, isAssumed }])
+    this.named.set(model, [...(this.named.get(model) ?? []).slice(-MAX_OLDER_VERSIONS), { version, since, isAssumed }])
     return true
   }
 
-  /** What is known, guesses left out: they would make others believe them. */
-  ages (now: number): NamedNews[] {
+  /** Ages of the known versions to announce, without guesses, which other instances would take for facts. */
+  versionAges (now: number): NamedNews[] {
     return [...this.named].flatMap(([model, versions]) =>
       versions.filter(({ isAssumed }) => !isAssumed).map(({ version, since }) => ({ model, version, ageMs: now - since })))
   }
 
-  /** Another instance tells since when it has known a version; the earliest word counts. Returns whether the version is news. */
-  observe ({ model, version, ageMs }: NamedNews, now: number): boolean {
+  /** Merges a version that another instance announced with its age; the earliest time counts. Returns whether the version is new. */
+  mergeVersion ({ model, version, ageMs }: NamedNews, now: number): boolean {
     const known = this.named.get(model) ?? []
-    const isNews = version > (this.newest(model)?.version ?? -1)
+    const isNew = version > (this.newest(model)?.version ?? -1)
     const same = known.find(named => named.version === version)
-    const told = { version, since: now - ageMs, isAssumed: false }
-    if (same === undefined || same.isAssumed || told.since < same.since) {
-      const merged = [...known.filter(named => named !== same), told].sort((one, other) => one.version - other.version)
-      this.named.set(model, merged.slice(-MOST_NAMED - 1))
+    const announced = { version, since: now - ageMs, isAssumed: false }
+    if (same === undefined || same.isAssumed || announced.since < same.since) {
+      const merged = [...known.filter(named => named !== same), announced].sort((a, b) => a.version - b.version)
+      this.named.set(model, merged.slice(-MAX_OLDER_VERSIONS - 1))
     }
-    return isNews
+    return isNew
   }
 
   newest (model: string): NamedVersion | undefined {
@@ -75,9 +75,9 @@
   }
 
   /**
-   * Since when there have been newer weights than the version, milliseconds of
-   * Unix time; undefined when there are none. The first newer ones count: were
-   * it the newest, versions named in quick succession would excuse any age.
+   * When the version was replaced by a newer one, milliseconds of Unix time;
+   * undefined if it is the newest. The first newer version counts: with the newest,
+   * versions named in quick succession would excuse any age.
    */
   outdatedSince (model: string, version: number): number | undefined {
     return this.next(model, version)?.since
--- a/packages/foxtaillever-relay/src/weights/orderOffice.ts
+++ b/packages/foxtaillever-relay/src/weights/orderCoordinator.ts
@@ -1,75 +1,75 @@
-/** The parts of an instance by which it may give orders to engines: the lease and the desk. */
+/** Creates the parts of an instance that order engines to change weights: the lease and the rollout. */
 import { randomUUID } from 'node:crypto'
 import { readWallSeconds } from '../knowledge/suspension.js'
 import type { Peers } from '../peers/peers.js'
 import type { RelayOptions } from '../relayOptions.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
-import { LentFenceLog } from './lentFenceLog.js'
 import { OrderLease } from './orderLease.js'
 import { LAST_RANK, orderRank } from './orderRank.js'
-import { WeightsDesk } from './weightsDesk.js'
+import { ProxiedFenceLog } from './proxiedFenceLog.js'
+import { WeightsRollout } from './weightsRollout.js'
 
 type OwnOptions = Pick<RelayOptions, 'clock' | 'random' | 'name' | 'fenceLog' | 'engineOrders' | 'leasePauseMs'>
 
-export interface OrderOfficeOptions extends OwnOptions {
+export interface OrderCoordinatorOptions extends OwnOptions {
   readonly topic: string
   readonly directory: ServerDirectory
   readonly peers: Peers
   readonly log: RelayLog
-  /** The platform's store answers this instance, which does not leave. */
-  readonly isFit: () => boolean
+  /** Whether this instance reaches the platform's store and is not leaving. */
+  readonly isEligible: () => boolean
   /** A call to the store failed. */
   readonly onStoreFailed: () => void
 }
 
-export interface OrderOffice {
+export interface OrderCoordinator {
   readonly lease: OrderLease
-  readonly desk: WeightsDesk
+  readonly rollout: WeightsRollout
 }
 
-export function createOrderOffice (options: OrderOfficeOptions): OrderOffice {
-  const { clock, name, directory, peers, log, engineOrders, isFit } = options
+export function createOrderCoordinator (options: OrderCoordinatorOptions): OrderCoordinator {
+  const { clock, name, directory, peers, log, engineOrders, isEligible } = options
   const lease = createLease(options)
-  const desk = WeightsDesk.create({
+  const rollout = WeightsRollout.create({
     clock,
     holder: name,
     directory,
     lease,
     orders: engineOrders,
     log,
-    rank: () => isFit() ? orderRank(name, fitPeers(peers).map(peer => peer.name), lease.lastHolder) : LAST_RANK,
+    rank: () => isEligible() ? orderRank(name, eligiblePeers(peers).map(peer => peer.name), lease.lastHolder) : LAST_RANK,
     outstandingAt: ({ outstanding, hash }) => outstanding + peers.use.of(hash).outstanding,
     waitMsAt: ({ unreadTokens, hash, listed }) => (unreadTokens + peers.use.of(hash).tokens) / directory.experience.prefillSpeedOf(listed.service).tokensPerMs,
-    tell: news => peers.tellWeights(news)
+    announce: updates => peers.tellWeights(updates)
   })
-  return { lease, desk }
+  return { lease, rollout }
 }
 
-function fitPeers (peers: Peers): ReturnType<Peers['alive']> {
+function eligiblePeers (peers: Peers): ReturnType<Peers['alive']> {
   return peers.alive().filter(({ hasStore }) => hasStore)
 }
 
-function createLease ({ clock, random, name, fenceLog, leasePauseMs, topic, peers, log, onStoreFailed }: OrderOfficeOptions): OrderLease {
-  const lentLog = LentFenceLog.create({
+function createLease ({ clock, random, name, fenceLog, leasePauseMs, topic, peers, log, onStoreFailed }: OrderCoordinatorOptions): OrderLease {
+  const proxiedLog = ProxiedFenceLog.create({
     clock,
     random,
     own: fenceLog,
-    lenders: () => fitPeers(peers).map(({ address }) => address),
+    proxies: () => eligiblePeers(peers).map(({ address }) => address),
     through: address => peers.link.logThrough(address),
     onFailed: onStoreFailed
   })
   return OrderLease.create({
     clock,
     uptime: readWallSeconds,
-    log: lentLog,
+    log: proxiedLog,
     topic,
     holder: name,
     incarnation: randomUUID(),
     pauseMs: leasePauseMs,
     onChanged: ({ offset }) => {
       log.belief('Holds the lease on orders.', { fence: offset })
-      // Whoever missed a renewal would ask too early, learn of it then, and wait anew.
+      // An instance that missed a renewal would request the lease too early, learn of the renewal then, and wait again.
       peers.tellWeights([])
     },
     onReleased: () => {
--- a/packages/foxtaillever-relay/src/weights/orderLease.ts
+++ b/packages/foxtaillever-relay/src/weights/orderLease.ts
@@ -1,57 +1,57 @@
 /**
  * The lease on giving orders, kept in a topic of the platform's store.
  *
- * A record is appended only where the topic is known to end, so of two that try
- * at once one fails, and its offset is the fencing number, higher than every
- * one before. The holder counts the term from before its append and by two
- * clocks, because a suspended machine's steady clock stands still. Whoever takes
- * over waits until the last holder's term and the pause that the users ask for
- * between two holders have passed, counted from when the record was learned. A
- * store that was restored from an older copy may have lost the last record, and
- * says nothing of who held the lease last: everybody waits.
+ * A record is appended only if the topic ends at the expected offset, so of two
+ * simultaneous appends one fails. The offset of the record is the fencing number, higher
+ * than all before. The holder counts the term from before its append and by two clocks,
+ * because a suspended machine's steady clock is paused. The next holder waits until the
+ * last holder's term and the pause that users require between two holders have passed,
+ * counted from when it learned of the record. A store restored from an older copy may
+ * have lost the last record and does not show who held the lease last, so every instance
+ * waits.
  */
 import type { Clock } from 'foxtaillever-core'
 import type { LeaseNews } from '../peers/peerMessage.js'
 import { eraOf } from '../knowledge/storePosition.js'
 import type { FenceLog } from './fenceLog.js'
 
-/** Long against a slow answer of the store, 240, short against the wait after a holder's death, milliseconds. */
+/** Term of the lease, milliseconds: long compared with a slow answer of the store (240), short compared with the wait after a holder's death. */
 const TERM_MS = 1200
 
-/** A holder stops this long before its term is over: an order takes that long to arrive, milliseconds. */
+/** A holder stops giving orders this long before its term ends, milliseconds: an order takes that long to arrive. */
 const TERM_MARGIN_MS = 300
 
-/** Renewed when less than this is left, milliseconds. */
+/** The lease is renewed when less than this is left, milliseconds. */
 const RENEW_MS = 450
 
-/** Is waited out by everybody. */
+/** Stands for a holder that is not known; every instance waits for its term to end. */
 const UNKNOWN_HOLDER = 'unknown'
 
 export interface OrderLeaseOptions {
   readonly clock: Clock
-  /** A clock that counts suspension, seconds; a step of it ends the lease early at worst. */
+  /** A clock that includes suspension, seconds; if it jumps, the lease ends early at worst. */
   readonly uptime: () => number
   readonly log: FenceLog
   readonly topic: string
   readonly holder: string
   /** Drawn at each start: a restarted process does not inherit its lease. */
   readonly incarnation: string
-  /** Between the orders of two holders, milliseconds. */
+  /** Pause between the orders of two holders, milliseconds. */
   readonly pauseMs: number
-  readonly onChanged: (news: LeaseNews) => void
+  readonly onChanged: (snapshot: LeaseNews) => void
   readonly onReleased: () => void
 }
 
-/** The newest record that is known. */
+/** The newest known record. */
 interface LastRecord {
   readonly offset: number
   readonly holder: string
-  /** No later than this it was appended, milliseconds of Unix time. */
+  /** The record was appended at this time or before, milliseconds of Unix time. */
   readonly knownSince: number
 }
 
 /** An append whose answer was lost. */
-interface OpenAppend {
+interface UnansweredAppend {
   readonly at: number
   readonly sentAt: number
   readonly sentUptime: number
@@ -59,10 +59,10 @@
 
 export class OrderLease {
   private last: LastRecord | undefined
-  private open: OpenAppend | undefined
+  private unanswered: UnansweredAppend | undefined
   private heldUntil = 0
   private heldUntilUptime = 0
-  private isAsking = false
+  private isRequesting = false
 
   private constructor (private readonly options: OrderLeaseOptions) {}
 
@@ -77,20 +77,19 @@
     return isHeld ? this.last?.offset : undefined
   }
 
-  /** Who held it last, as far as is known. */
+  /** Name of the last known holder. */
   get lastHolder (): string | undefined {
     return this.last?.holder
   }
 
-  /** An engine has seen a higher fencing number: the lease is another's, whatever the clocks say. */
+  /** Ends the lease here: an engine has seen a higher fencing number, so another instance holds the lease, whatever the clocks say. */
   drop (): void {
     this.heldUntil = 0
   }
 
   /**
-   * Gives no more orders under this lease, and says so: by an age at which the
-   * term is over but for the time that an order may be on its way, so that the
-   * next holder waits for the pause only.
+   * Releases the lease and announces it. The announced age leaves of the term only the
+   * time that an order may be on its way, so the next holder waits for the pause only.
    */
   release (): void {
     const { clock, onReleased } = this.options
@@ -101,17 +100,17 @@
     }
   }
 
-  /** It was this instance's last, and an answer to another append is still to come. */
+  /** Whether this instance was the last holder and waits for the answer to another append. */
   get isRenewing (): boolean {
-    return this.isAsking && this.last?.holder === this.options.holder
+    return this.isRequesting && this.last?.holder === this.options.holder
   }
 
-  news (): LeaseNews | undefined {
+  snapshot (): LeaseNews | undefined {
     return this.last && { offset: this.last.offset, holder: this.last.holder, ageMs: this.options.clock.now() - this.last.knownSince }
   }
 
-  /** Takes what another instance knows. */
-  observe ({ offset, holder, ageMs }: LeaseNews): void {
+  /** Applies what another instance knows of the lease. */
+  applySnapshot ({ offset, holder, ageMs }: LeaseNews): void {
     const knownSince = this.options.clock.now() - ageMs
     if (offset > (this.last?.offset ?? -1)) {
       this.last = { offset, holder, knownSince }
@@ -121,30 +120,30 @@
     }
   }
 
-  /** Whether the last holder may still give orders, or stopped too short a time ago. */
+  /** Whether the last holder may still give orders, or the pause after its term is not over. */
   private mustWait (now: number): boolean {
     const { last, options } = this
     return last !== undefined && last.holder !== options.holder && now < last.knownSince + TERM_MS + options.pauseMs
   }
 
-  /** Asks for the lease or renews it; says whether it is held. Engines are not left alone while a renewal takes its time. */
-  async take (): Promise<boolean> {
+  /** Acquires or renews the lease; returns whether it is held. A renewal is not awaited, so that orders continue meanwhile. */
+  async acquire (): Promise<boolean> {
     const now = this.options.clock.now()
     const isHeld = this.fence() !== undefined
     const isFresh = isHeld && this.heldUntil - now > RENEW_MS
-    if (!isFresh && !this.isAsking && !this.mustWait(now)) {
-      const asked = this.ask(now)
+    if (!isFresh && !this.isRequesting && !this.mustWait(now)) {
+      const requested = this.requestLease(now)
       if (!isHeld) {
-        await asked
+        await requested
       }
     }
     return this.fence() !== undefined
   }
 
-  private async ask (now: number): Promise<void> {
-    this.isAsking = true
+  private async requestLease (now: number): Promise<void> {
+    this.isRequesting = true
     await this.append(now)
-    this.isAsking = false
+    this.isRequesting = false
   }
 
   private async append (sentAt: number): Promise<void> {
@@ -154,10 +153,10 @@
     const answer = await log.append(topic, at, this.record())
     await answer.caseOf({
       Left: async () => {
-        // It may have been appended, or may be yet: the first one counts the term.
-        this.open = this.open?.at === at ? this.open : { at, sentAt, sentUptime }
+        // The record may have been appended or may still be. The term counts from the first append at this offset.
+        this.unanswered = this.unanswered?.at === at ? this.unanswered : { at, sentAt, sentUptime }
       },
-      Right: async ({ isAppended, end }) => isAppended ? this.hold({ at, sentAt, sentUptime }) : await this.learn(at, end)
+      Right: async ({ isAppended, end }) => isAppended ? this.markHeld({ at, sentAt, sentUptime }) : await this.learnHolder(at, end)
     })
   }
 
@@ -166,24 +165,24 @@
     return Buffer.from(JSON.stringify({ holder, incarnation }))
   }
 
-  private hold ({ at, sentAt, sentUptime }: OpenAppend): void {
+  private markHeld ({ at, sentAt, sentUptime }: UnansweredAppend): void {
     const { holder, onChanged } = this.options
     const termMs = TERM_MS - TERM_MARGIN_MS
-    this.open = undefined
+    this.unanswered = undefined
     this.last = { offset: at, holder, knownSince: sentAt }
     this.heldUntil = sentAt + termMs
     this.heldUntilUptime = sentUptime + termMs / 1000
     onChanged({ offset: at, holder, ageMs: 0 })
   }
 
-  /** The topic ends elsewhere: another has the lease, or an answer to this instance was lost. */
-  private async learn (at: number, end: number): Promise<void> {
+  /** The topic ends at another offset: another instance has the lease, or an answer to this instance was lost. */
+  private async learnHolder (at: number, end: number): Promise<void> {
     const { log, topic, clock } = this.options
     const offset = end - 1
     const found = await log.readAt(topic, offset)
     const record = found.orDefault(undefined)?.toString()
-    if (this.open?.at === offset && record === this.record().toString()) {
-      this.hold(this.open)
+    if (this.unanswered?.at === offset && record === this.record().toString()) {
+      this.markHeld(this.unanswered)
       return
     }
     this.heldUntil = 0
@@ -196,7 +195,7 @@
   try {
     return String((JSON.parse(record ?? '') as { holder?: unknown }).holder)
   } catch {
-    // A record that cannot be read was written by another release; its holder is waited out like any other.
+    // A record that cannot be read was written by another release; its holder's term counts like any other.
     return UNKNOWN_HOLDER
   }
 }
--- a/packages/foxtaillever-relay/src/weights/orderRank.ts
+++ b/packages/foxtaillever-relay/src/weights/orderRank.ts
@@ -1,14 +1,14 @@
-/** In which order instances take the lease on orders. */
+/** The order in which instances request the lease on orders. */
 import { hashNumber } from 'foxtaillever-core'
 
-/** Place of an instance that cannot take the lease, since the store does not answer it or it leaves. */
+/** Rank of an instance that cannot take the lease because it does not reach the store or is leaving. */
 export const LAST_RANK = 8
 
 /**
- * The last holder acts first, then the others in an order that all compute alike.
- * @param others names of the others that could take it.
+ * The last holder comes first, then the others in an order that all instances compute alike.
+ * @param others names of the other instances that could take the lease.
  */
 export function orderRank (name: string, others: readonly string[], lastHolder: string | undefined): number {
-  const order = [...others, name].sort((one, other) => Number(other === lastHolder) - Number(one === lastHolder) || hashNumber(one) - hashNumber(other))
+  const order = [...others, name].sort((a, b) => Number(b === lastHolder) - Number(a === lastHolder) || hashNumber(a) - hashNumber(b))
   return order.indexOf(name)
 }
--- a/packages/foxtaillever-relay/src/weights/weightsDeskOptions.ts
+++ b/packages/foxtaillever-relay/src/weights/weightsRolloutOptions.ts
@@ -1,4 +1,4 @@
-/** What the desk that orders new weights works with. */
+/** Dependencies of the rollout of new weights. */
 import type { Clock } from 'foxtaillever-core'
 import type { WeightsNews } from '../peers/peerMessage.js'
 import type { KnownServer } from '../servers/knownServer.js'
@@ -7,19 +7,19 @@
 import type { EngineOrders } from './engineOrders.js'
 import type { OrderLease } from './orderLease.js'
 
-export interface WeightsDeskOptions {
+export interface WeightsRolloutOptions {
   readonly clock: Clock
   readonly holder: string
   readonly directory: ServerDirectory
   readonly lease: OrderLease
   readonly orders: EngineOrders
   readonly log: RelayLog
-  /** This instance's place among those that may take the lease; 0 acts at once. */
+  /** This instance's rank among those that may take the lease; rank 0 acts at once. */
   readonly rank: () => number
-  /** All requests that the fleet has at the server. */
+  /** Outstanding requests of the whole fleet at the server. */
   readonly outstandingAt: (server: KnownServer) => number
-  /** How long the prompts that wait at the server take to read, milliseconds. */
+  /** Time to read the prompts that wait at the server, milliseconds. */
   readonly waitMsAt: (server: KnownServer) => number
-  /** Told once after each look, for all engines of which there is news. */
-  readonly tell: (news: readonly WeightsNews[]) => void
+  /** Sends updates to the other instances; called once after each check, for all engines that changed. */
+  readonly announce: (updates: readonly WeightsNews[]) => void
 }
