--- a/packages/foxtaillever-relay/src/exchange/attemptPlacement.ts
+++ b/packages/foxtaillever-relay/src/exchange/attemptPlacement.ts
@@ -48,7 +48,7 @@
     const server = this.countedServer
     this.countedServer = undefined
     if (server) {
-      this.options.context.limits.giveBack(server)
+      this.options.context.limits.refund(server)
     }
   }
 
--- a/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
@@ -284,7 +284,7 @@
   /** Gives the quota back where the request has not run. */
   private returnQuota (end: ExchangeEnd): void {
     if (this.isCounted && end !== ExchangeEnd.Answered && this.ledger.verdict === Verdict.NotRun) {
-      this.context.quota.giveBack(this.exchange)
+      this.context.quota.refund(this.exchange)
     }
     this.isCounted = false
   }
