--- a/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
+++ b/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
@@ -22,9 +22,9 @@
 import { RouteTable } from '../routing/routeTable.js'
 import { noQuotas } from '../limits/accountQuotas.js'
 import { ServerDirectory } from '../servers/serverDirectory.js'
-import { opensAt } from '../servers/serverOpening.js'
-import { ServiceReturns } from '../servers/serviceReturns.js'
-import { ServerStatements } from '../servers/serverStatements.js'
+import { availableFrom } from '../servers/serverAvailability.js'
+import { RetrySchedule } from '../servers/retrySchedule.js'
+import { ServerStatementHandler } from '../servers/serverStatementHandler.js'
 import { RelayLog } from '../telemetry/relayLog.js'
 import { ScriptedServer, type Answer } from './scriptedServer.js'
 
@@ -79,7 +79,7 @@
   readonly directory = ServerDirectory.create({
     onChanged: () => {},
     now: () => this.clock.now(),
-    onAnswer: (server, status, headers, sentAt) => this.statements.observe(server, serverWire.readStatement(status, headers), sentAt)
+    onAnswer: (server, status, headers, sentAt) => this.statements.applyStatement(server, serverWire.readStatement(status, headers), sentAt)
   })
 
   readonly retries = RetryShare.create({ ratio: 0.2, slack: 1000, windowMs: 10_000 }, 0)
@@ -94,7 +94,7 @@
   limitProtocol = noSharedLimits
   private readonly callers: CallerServer
   readonly limits: ServerLimits
-  private readonly statements: ServerStatements
+  private readonly statements: ServerStatementHandler
   readonly runs: ExchangeRuns
   private port = 0
 
@@ -105,8 +105,8 @@
     const random = SeededRandom.create(1)
     const log = RelayLog.create(Logs.create({ instance: 'i', level: 'silent', clock, destination: new PassThrough() }))
     this.limits = ServerLimits.create({ clock, log, directory: this.directory, protocol: () => this.limitProtocol, onUrgent: () => {} })
-    this.statements = ServerStatements.create({ clock, log, directory: this.directory, limits: this.limits, onRestAsked: () => {} })
-    const returns = ServiceReturns.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => 1 })
+    this.statements = ServerStatementHandler.create({ clock, log, directory: this.directory, limits: this.limits, onBackoffRequested: () => {} })
+    const returns = RetrySchedule.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => 1 })
     const context: ExchangeContext = {
       clock,
       connectTimeoutMs: 200,
@@ -128,8 +128,8 @@
       onSaved: () => {},
       onUnreachable: ({ listed }) => { this.unreachable.push(listed.id) },
       askLoad: () => undefined,
-      place: (_, { failed }) => this.directory.ready('s').find(server => !failed.has(server.listed.id) && opensAt(server) <= clock.now()),
-      returnAt: service => returns.returnAt(service),
+      place: (_, { failed }) => this.directory.ready('s').find(server => !failed.has(server.listed.id) && availableFrom(server) <= clock.now()),
+      returnAt: service => returns.nextRetryAt(service),
       onMisdirected: () => {}
     }
     this.retries.observeInstances(1)
@@ -155,7 +155,7 @@
     const server = await ScriptedServer.start(answer)
     const id = `s${this.servers.push(server) - 1}`
     const listed = { id, startedAt: 0, service: 's', address: server.address, failureDomain: 'd', slots: 8, state: ServerState.Ready, coldLeftMs: 0, weights: new Map<string, number>() }
-    this.directory.observe(listed, this.servers.length)
+    this.directory.applyEntry(listed, this.servers.length)
   }
 
   get arrivals (): number {
--- a/packages/foxtaillever-relay/src/__tests__/answers.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/answers.test.ts
@@ -130,7 +130,7 @@
 
   it('serve again when none has failed for a while', async t => {
     const rig = await RelayRig.start({}, arrival => { arrival.socket.write(wholeAnswer(arrival, 'hello', '200 OK', hold)) })
-    rig.directory.experience.distrustKept('s', rig.clock.now())
+    rig.directory.observations.distrustIdleConnections('s', rig.clock.now())
     await rig.ask('a')
     await rig.ask('b')
     await rig.clock.advanceBy(10_000)
@@ -163,7 +163,7 @@
 
   it('serve what may run twice all the while', async t => {
     const rig = await RelayRig.start({ repeatability: Repeatability.Idempotent }, arrival => { arrival.socket.write(wholeAnswer(arrival, 'hello', '200 OK', hold)) })
-    rig.directory.experience.distrustKept('s', rig.clock.now())
+    rig.directory.observations.distrustIdleConnections('s', rig.clock.now())
     await rig.ask('a')
     await rig.ask('b')
     t.deepEqual(rig.servers[0]?.arrivals.map(({ connection }) => connection), [0, 0])
--- a/packages/foxtaillever-relay/src/__tests__/serverStatements.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/serverStatements.test.ts
@@ -44,7 +44,7 @@
   // Guards against requests that were placed before the word and sent after it.
   it('gets no request whose connection was still being made, and another server runs it', async t => {
     const rig = await RelayRig.start({}, answerWell, answerWell)
-    rig.onLoadChanged = () => { rig.directory.observeLeaving('s0', rig.clock.now()) }
+    rig.onLoadChanged = () => { rig.directory.markLeaving('s0', rig.clock.now()) }
     t.regex(await rig.ask('first'), /^HTTP\/1.1 200/)
     t.deepEqual(rig.servers.map(({ arrivals }) => arrivals.length), [0, 1])
     rig.stop()
@@ -54,7 +54,7 @@
   it('gets no request on a kept connection either', async t => {
     const rig = await RelayRig.start({}, answerWell, answerWell)
     await rig.ask('first')
-    rig.onLoadChanged = () => { rig.directory.observeLeaving('s0', rig.clock.now()) }
+    rig.onLoadChanged = () => { rig.directory.markLeaving('s0', rig.clock.now()) }
     t.regex(await rig.ask('second'), /^HTTP\/1.1 200/)
     t.deepEqual(rig.servers.map(({ arrivals }) => arrivals.length), [1, 1])
     rig.stop()
@@ -122,7 +122,7 @@
   // Guards against requests that were placed before the word and sent after it.
   it('gets no request whose connection was still being made, and another server runs it', async t => {
     const rig = await RelayRig.start({}, answerWell, answerWell)
-    rig.onLoadChanged = () => { rig.directory.newestStated('s0')?.observeRest(rig.clock.now() + REST_MS, rig.clock.now()) }
+    rig.onLoadChanged = () => { rig.directory.newestStatedState('s0')?.observeRest(rig.clock.now() + REST_MS, rig.clock.now()) }
     t.regex(await rig.ask('first'), /^HTTP\/1.1 200/)
     t.deepEqual(rig.servers.map(({ arrivals }) => arrivals.length), [0, 1])
     rig.stop()
--- a/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
@@ -35,7 +35,7 @@
     retryAllowance: { ratio: 0.2, slack: 10, windowMs: 10_000 },
     suspects: CrashSuspects.create(),
     quota: noQuotas,
-    use: { of: () => noLoad },
+    fleetLoad: { of: () => noLoad },
     weights: { outdatedSince: () => undefined },
     weightsBoundMs: Infinity,
     routing: () => undefined,
@@ -66,7 +66,7 @@
     const clock = VirtualClock.create()
     const told: string[] = []
     const desk = createDesk(clock, told)
-    desk.directory.observe({ id: 'dark', startedAt: 0, service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 8, state: ServerState.Ready, coldLeftMs: 0, weights: new Map() }, 1)
+    desk.directory.applyEntry({ id: 'dark', startedAt: 0, service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 8, state: ServerState.Ready, coldLeftMs: 0, weights: new Map() }, 1)
     const dark = desk.directory.get('dark')
     desk.hearUnreachable(dark?.hash ?? 0)
     desk.hearUnreachable(dark?.hash ?? 0)
--- a/packages/foxtaillever-relay/src/attempts/attempt.ts
+++ b/packages/foxtaillever-relay/src/attempts/attempt.ts
@@ -7,7 +7,7 @@
 import type { Socket } from 'node:net'
 import { atAfterReading, type Cancellation, type Clock } from 'foxtaillever-core'
 import type { AnswerMarks, AnswerWire } from '../model/wire.js'
-import { ClosedServerError, type ServerCall, type ServerConnections } from '../servers/serverConnections.js'
+import { SendNotAllowedError, type ServerCall, type ServerConnections } from '../servers/serverConnections.js'
 import { AttemptFailureKind, type AttemptFailure } from './attemptFailure.js'
 
 /** The head of a server's own answer, checked. */
@@ -57,7 +57,7 @@
 
   private constructor (private readonly options: AttemptOptions) {
     const { connections, call, clock, connectTimeoutMs, leastRestedMs = Infinity } = options
-    connections.closeRested(leastRestedMs)
+    connections.closeIdleFor(leastRestedMs)
     this.request = connections.send(call, () => this.onLeft())
     this.request.on('response', response => this.onResponse(response))
     this.request.on('error', error => this.onError(error))
@@ -125,7 +125,7 @@
     }
     const { code = error.message } = error as NodeJS.ErrnoException
     if (!this.hasLeft) {
-      this.fail(error instanceof ClosedServerError ? AttemptFailureKind.Closed : AttemptFailureKind.Unreachable, code)
+      this.fail(error instanceof SendNotAllowedError ? AttemptFailureKind.Closed : AttemptFailureKind.Unreachable, code)
       return
     }
     this.fail(code.startsWith('HPE_') ? AttemptFailureKind.Malformed : AttemptFailureKind.Lost, code)
--- a/packages/foxtaillever-relay/src/exchange/beginAttempt.ts
+++ b/packages/foxtaillever-relay/src/exchange/beginAttempt.ts
@@ -16,7 +16,7 @@
     wire,
     connections: server.connections,
     requestId: id,
-    leastRestedMs: isRepeatable(exchange) ? Infinity : directory.experience.leastRestedMs(service, beganAt),
+    leastRestedMs: isRepeatable(exchange) ? Infinity : directory.observations.trustedIdleMs(service, beganAt),
     connectTimeoutMs,
     call: { method, path, headers, body },
     listener
--- a/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
@@ -8,7 +8,7 @@
 import type { Routing } from '../model/routing.js'
 import type { ServerWire } from '../model/wire.js'
 import type { KnownServer } from '../servers/knownServer.js'
-import type { AskedServers, EarlierTries } from '../servers/serverChoice.js'
+import type { QueriedServers, EarlierAttempts } from '../servers/serverSelector.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import type { AccountQuotas } from '../limits/accountQuotas.js'
@@ -43,9 +43,9 @@
   /** A server took no connection. */
   readonly onUnreachable: (server: KnownServer) => void
   /** Asks what the others put on the servers that come into question, and tells which; undefined where it is known. Never fails. */
-  readonly askLoad: (exchange: Exchange, earlier: EarlierTries) => Promise<AskedServers> | undefined
+  readonly askLoad: (exchange: Exchange, earlier: EarlierAttempts) => Promise<QueriedServers> | undefined
   /** The server for the next try, other than those that failed it; undefined when there is none. */
-  readonly place: (exchange: Exchange, earlier: EarlierTries, asked: AskedServers | undefined) => KnownServer | undefined
+  readonly place: (exchange: Exchange, earlier: EarlierAttempts, asked: QueriedServers | undefined) => KnownServer | undefined
   /** When a caller may come back where no server of the service takes requests now, milliseconds of Unix time; undefined where none said so. */
   readonly returnAt: (service: string) => number | undefined
   /** A server is not what it was thought to be; the failure may name it. */
--- a/packages/foxtaillever-relay/src/exchange/exchangeDesk.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDesk.ts
@@ -16,10 +16,10 @@
 import type { ServerWire } from '../model/wire.js'
 import type { LevelAtHome, LoadWish } from '../peers/loadQuestions.js'
 import type { KnownServer } from '../servers/knownServer.js'
-import { ServerChoice, type AskedServers, type ServerChoiceOptions } from '../servers/serverChoice.js'
+import { ServerSelector, type QueriedServers, type ServerSelectorOptions } from '../servers/serverSelector.js'
 import { ServerDirectory } from '../servers/serverDirectory.js'
-import { ServiceReturns } from '../servers/serviceReturns.js'
-import { ServerStatements } from '../servers/serverStatements.js'
+import { RetrySchedule } from '../servers/retrySchedule.js'
+import { ServerStatementHandler } from '../servers/serverStatementHandler.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import type { ExchangeContext } from './exchangeContext.js'
 import { ExchangeRuns } from './exchangeRuns.js'
@@ -27,14 +27,14 @@
 /** Whoever is about to send a prompt asks its watchers again; their word serves this one choice, milliseconds. */
 const HEARD_MS = 50
 
-export interface ExchangeDeskOptions extends Pick<ServerChoiceOptions, 'failureDomain' | 'use' | 'weights' | 'weightsBoundMs'>, Pick<ExchangeContext, 'connectTimeoutMs' | 'suspects' | 'quota' | 'onMisdirected' | 'onLoadChanged' | 'onSaved' | 'onUnreachable'>, Omit<CacheUseOptions, 'stores'> {
+export interface ExchangeDeskOptions extends Pick<ServerSelectorOptions, 'failureDomain' | 'fleetLoad' | 'weights' | 'weightsBoundMs'>, Pick<ExchangeContext, 'connectTimeoutMs' | 'suspects' | 'quota' | 'onMisdirected' | 'onLoadChanged' | 'onSaved' | 'onUnreachable'>, Omit<CacheUseOptions, 'stores'> {
   readonly clock: Clock
   readonly random: Random
   readonly wire: ServerWire
   readonly log: RelayLog
   readonly retryAllowance: RetryAllowance
   /** Asks what other instances know of the servers that a prompt's choice comes down to, and tells which; undefined where it is known. Never fails. */
-  readonly askLoad: (wish: () => LoadWish) => Promise<AskedServers> | undefined
+  readonly askLoad: (wish: () => LoadWish) => Promise<QueriedServers> | undefined
   /** The configuration in force; undefined until one is known. */
   readonly routing: () => Routing | undefined
   /** A server asked this instance for rest. */
@@ -53,7 +53,7 @@
   readonly caches: CacheUse
   readonly runs: ExchangeRuns
   readonly limits: ServerLimits
-  private readonly statements: ServerStatements
+  private readonly statements: ServerStatementHandler
 
   private readonly clock: Clock
   private instances = 1
@@ -67,7 +67,7 @@
     this.caches = CacheUse.create({ ...options, stores: () => options.routing()?.cacheStores ?? [] })
     this.directory = ServerDirectory.create({
       now: () => clock.now(),
-      onAnswer: (server, status, headers, sentAt) => this.statements.observe(server, wire.readStatement(status, headers), sentAt),
+      onAnswer: (server, status, headers, sentAt) => this.statements.applyStatement(server, wire.readStatement(status, headers), sentAt),
       onChanged: (server, before) => {
         const { id, startedAt, service, state } = server
         log.belief('A backend server changed its state.', { server: id, startedAt, service, state, before })
@@ -75,13 +75,13 @@
       }
     })
     this.limits = ServerLimits.create({ clock, log, directory: this.directory, protocol: options.limitProtocol, onUrgent: options.onLimitChanged })
-    this.statements = ServerStatements.create({ clock, log, directory: this.directory, limits: this.limits, onRestAsked: options.onRestAsked })
-    const returns = ServiceReturns.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => this.instances })
-    const choice = ServerChoice.create({
+    this.statements = ServerStatementHandler.create({ clock, log, directory: this.directory, limits: this.limits, onBackoffRequested: options.onRestAsked })
+    const returns = RetrySchedule.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => this.instances })
+    const choice = ServerSelector.create({
       ...options,
       directory: this.directory,
       stores: () => this.caches.available(),
-      levelSupply: exchange => levelSupplyOf(exchange, knownRouting(options.routing()), this.caches, clock.now(), this.directory.experience.prefillSpeedOf(exchange.service).tokensPerMs)
+      levelSupply: exchange => levelSupplyOf(exchange, knownRouting(options.routing()), this.caches, clock.now(), this.directory.observations.prefillSpeedOf(exchange.service).tokensPerMs)
     })
     this.runs = ExchangeRuns.create({
       clock,
@@ -96,13 +96,13 @@
       limits: this.limits,
       log,
       routing: () => knownRouting(options.routing()),
-      othersTokensAt: server => options.use.of(server.hash).tokens,
+      othersTokensAt: server => options.fleetLoad.of(server.hash).tokens,
       onLoadChanged,
       onSaved,
       onUnreachable,
-      askLoad: (exchange, earlier) => exchange.prompt && askLoad(() => ({ servers: choice.shortlist(exchange, earlier), level: this.levelAtHome(exchange, choice.homeOf(exchange)) })),
-      returnAt: service => returns.returnAt(service),
-      place: (exchange, earlier, asked) => choice.place(exchange, earlier, asked),
+      askLoad: (exchange, earlier) => exchange.prompt && askLoad(() => ({ servers: choice.shortlist(exchange, earlier), level: this.levelAtHome(exchange, choice.homeServerOf(exchange)) })),
+      returnAt: service => returns.nextRetryAt(service),
+      place: (exchange, earlier, asked) => choice.selectServer(exchange, earlier, asked),
       onMisdirected
     })
   }
@@ -115,7 +115,7 @@
   observeInstances (count: number): void {
     this.instances = count
     this.retries.observeInstances(count)
-    this.directory.observeInstances(count)
+    this.directory.setInstanceCount(count)
   }
 
   private levelAtHome (exchange: Exchange, home: KnownServer | undefined): LevelAtHome | undefined {
@@ -125,21 +125,21 @@
 
   /** A server asked other instances for rest; by its hash. */
   hearResting (hash: number): void {
-    const server = this.directory.ofHash(hash)
+    const server = this.directory.getByHash(hash)
     if (server) {
-      server.restingForOthersUntil = this.clock.now() + HEARD_MS
+      server.peerBackoffUntil = this.clock.now() + HEARD_MS
     }
   }
 
   /** Several instances could not reach a server; by its hash. */
   hearUnreachable (hash: number): void {
-    const server = this.directory.ofHash(hash)
+    const server = this.directory.getByHash(hash)
     const now = this.clock.now()
     if (server && server.absentUntil <= now) {
       this.log.belief('Other instances could not reach a backend server; it is passed over for a moment.', { server: server.listed.id })
     }
     if (server) {
-      this.directory.experience.observeAbsent(server, now)
+      this.directory.observations.recordAbsent(server, now)
     }
   }
 }
--- a/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
@@ -154,7 +154,7 @@
       return
     }
     if (server && current) {
-      context.directory.experience.observeSuccess(server, exchange.route.name, head.at - current.beganAt, this.now)
+      context.directory.observations.recordSuccess(server, exchange.route.name, head.at - current.beganAt, this.now)
       context.suspects.acquit(exchange, server.listed.id, current.beganAt, this.now)
     }
     relay.end()
@@ -220,7 +220,7 @@
     if (isBetterGivenUp(context, exchange, { current, ledger, canContinue: relay.canContinue, hasBegun: answer.hasBegun })) {
       attempt.giveUp()
     } else if (!attempt.isOnKeptConnection) {
-      context.directory.experience.observeFault(server, this.now)
+      context.directory.observations.recordFault(server, this.now)
     }
   }
 
--- a/packages/foxtaillever-relay/src/exchange/observeFailure.ts
+++ b/packages/foxtaillever-relay/src/exchange/observeFailure.ts
@@ -10,21 +10,21 @@
   const id = server?.listed.id ?? ''
   log.attemptFailed(exchange, id, failure, verdict)
   if (server && isServersFault) {
-    directory.experience.observeFault(server, now)
+    directory.observations.recordFault(server, now)
   }
   if (server && failure.kind === AttemptFailureKind.Unreachable) {
-    directory.experience.observeAbsent(server, now)
+    directory.observations.recordAbsent(server, now)
     onUnreachable(server)
   }
   if (server && failure.kind === AttemptFailureKind.Misdirected && failure.serverId !== undefined && failure.serverId !== id) {
-    directory.experience.observeDisplaced(server, now)
+    directory.observations.recordDisplaced(server, now)
   }
   if (server && failure.kind === AttemptFailureKind.Refused) {
     // It is full, or about to change its weights.
     server.refusedAt = now
   }
   if (spoilsConnections(failure)) {
-    directory.experience.distrustKept(exchange.service, now)
+    directory.observations.distrustIdleConnections(exchange.service, now)
   }
   if (mayBeCrash(failure.kind)) {
     suspects.accuse(exchange, id, now)
--- a/packages/foxtaillever-relay/src/exchange/observeHead.ts
+++ b/packages/foxtaillever-relay/src/exchange/observeHead.ts
@@ -11,11 +11,11 @@
   const { weightsVersion } = marks
   tried.begin()
   if (prompt && weightsVersion !== undefined) {
-    directory.observeWeights(tried.server, prompt.model, weightsVersion)
+    directory.recordWeights(tried.server, prompt.model, weightsVersion)
   }
   // A wait for new weights, or for requests that went before it, says nothing of reading.
   if (prompt && status < FIRST_NOT_WELL && !tried.isChanging && !tried.isYielding) {
-    directory.experience.prefillSpeedOf(service).observe(tried.tokensToRead, at - tried.beganAt)
+    directory.observations.prefillSpeedOf(service).observe(tried.tokensToRead, at - tried.beganAt)
   }
   tried.observeStatus(status, clock.now())
 }
--- a/packages/foxtaillever-relay/src/exchange/openTry.ts
+++ b/packages/foxtaillever-relay/src/exchange/openTry.ts
@@ -67,7 +67,7 @@
   /** The answer has begun. */
   begin (): void {
     const { server, beganAt } = this
-    server.newestBegun = Math.max(server.newestBegun, beganAt)
+    server.newestAnsweredSentAt = Math.max(server.newestAnsweredSentAt, beganAt)
   }
 
   /**
@@ -76,7 +76,7 @@
    * that passes a request over has lost it.
    */
   get isOvertaken (): boolean {
-    return this.server.newestBegun > this.beganAt
+    return this.server.newestAnsweredSentAt > this.beganAt
   }
 
   /** Whether the server changed its weights meanwhile, which explains a silence. */
--- a/packages/foxtaillever-relay/src/exchange/planTry.ts
+++ b/packages/foxtaillever-relay/src/exchange/planTry.ts
@@ -14,7 +14,7 @@
 export function planTry (context: ExchangeContext, exchange: Exchange, server: KnownServer, resumeAfter: string): PlannedTry {
   const { clock, caches, directory, log, othersTokensAt, routing } = context
   const othersTokens = othersTokensAt(server)
-  const { tokensPerMs } = directory.experience.prefillSpeedOf(exchange.service)
+  const { tokensPerMs } = directory.observations.prefillSpeedOf(exchange.service)
   const pace = { tokensBefore: server.unreadTokens + othersTokens, tokensPerMs, now: clock.now() }
   const terms = planTerms(exchange, server, resumeAfter, { ...caches, ...pace, routing: routing(), stores: caches.available() })
   if (terms.isYielding) {
--- a/packages/foxtaillever-relay/src/exchange/tryPlacement.ts
+++ b/packages/foxtaillever-relay/src/exchange/tryPlacement.ts
@@ -7,7 +7,7 @@
 import { LimitAdmission } from '../limits/serverLimits.js'
 import type { Exchange } from '../model/exchange.js'
 import type { KnownServer } from '../servers/knownServer.js'
-import type { AskedServers } from '../servers/serverChoice.js'
+import type { QueriedServers } from '../servers/serverSelector.js'
 import { afterwards } from './afterwards.js'
 import type { ExchangeContext } from './exchangeContext.js'
 import type { TryLedger } from './tryLedger.js'
@@ -51,7 +51,7 @@
     }
   }
 
-  private place (asked: AskedServers | undefined): void {
+  private place (asked: QueriedServers | undefined): void {
     const { context, exchange, ledger } = this.options
     const server = context.place(exchange, ledger, asked)
     if (server) {
@@ -66,7 +66,7 @@
     }
   }
 
-  private onAdmission (server: KnownServer, admission: LimitAdmission, asked: AskedServers | undefined): void {
+  private onAdmission (server: KnownServer, admission: LimitAdmission, asked: QueriedServers | undefined): void {
     const { context, exchange, ledger, isOver, onPlaced } = this.options
     this.countedAt = admission === LimitAdmission.Counted ? server : undefined
     if (isOver()) {
--- a/packages/foxtaillever-relay/src/exchange/watchTry.ts
+++ b/packages/foxtaillever-relay/src/exchange/watchTry.ts
@@ -6,7 +6,7 @@
 
 /** @param sentAt milliseconds of Unix time. */
 export function watchTry ({ clock, directory }: ExchangeContext, { deadline, route }: Exchange, sentAt: number, onSilent: () => void): SilenceWatch {
-  const usualMs = directory.experience.usualTimeOf(route.name).value
+  const usualMs = directory.observations.usualTimeOf(route.name).value
   return SilenceWatch.start({
     clock,
     firstUntil: awaitFirstUntil({ sentAt, deadline, objectiveMs: route.objectiveMs, usualMs }),
--- a/packages/foxtaillever-relay/src/knowledge/recordIntake.ts
+++ b/packages/foxtaillever-relay/src/knowledge/recordIntake.ts
@@ -126,7 +126,7 @@
     }
     return readers.server(key, value).caseOf({
       Left: reason => this.takeUnreadable(key, offset, reason),
-      Right: listed => directory.observe(listed, offset)
+      Right: listed => directory.applyEntry(listed, offset)
     })
   }
 
@@ -146,7 +146,7 @@
       this.unreadable.set(key, now + UNREADABLE_LOGGED_MS)
       log.trouble('An entry of a backend server cannot be read; it gets no new work.', { server: key.slice(0, MOST_KEY_LOGGED), position: formatPosition(offset), reason: reason.slice(0, MOST_REASON_LOGGED) })
     }
-    return directory.observeUnreadable(key, offset)
+    return directory.markUnreadable(key, offset)
   }
 
   /**
--- a/packages/foxtaillever-relay/src/limits/serverLimits.ts
+++ b/packages/foxtaillever-relay/src/limits/serverLimits.ts
@@ -57,7 +57,7 @@
 
 export interface ServerLimitsOptions {
   readonly clock: Clock
-  readonly directory: Pick<ServerDirectory, 'ofHash'>
+  readonly directory: Pick<ServerDirectory, 'getByHash'>
   readonly log: Pick<RelayLog, 'belief' | 'limitUnreadable' | 'sentUnderLimit' | 'serverLimitRefused'>
   readonly protocol: () => Pick<LimitProtocol, 'claim' | 'giveBack'>
   /** A limit began, ended or fell, which the other instances must know now. */
@@ -94,7 +94,7 @@
   hear (news: readonly LimitNews[]): void {
     const { clock, directory } = this.options
     news.forEach(({ server, perSecond, ageMs }) => {
-      const known = directory.ofHash(server)
+      const known = directory.getByHash(server)
       if (known) {
         this.learn(known, perSecond, clock.now() - ageMs)
       }
@@ -106,7 +106,7 @@
     const { clock, directory } = this.options
     const now = clock.now()
     return this.stated.toTell(now)
-      .filter(({ server }) => directory.ofHash(server) !== undefined)
+      .filter(({ server }) => directory.getByHash(server) !== undefined)
       .map(({ server, perSecond, at }) => ({ server, perSecond, ageMs: now - at }))
   }
 
--- a/packages/foxtaillever-relay/src/servers/__tests__/callServer.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/callServer.test.ts
@@ -29,9 +29,9 @@
 describe('callServer', () => {
   const clock = SystemClock.create()
 
-  describe('in a process that stands still past the deadline', () => {
-    // The machine freezes or the processor is taken away while a call to the store is on its way. The timer is due
-    // before the answer is read, the store counts as dark, and requests are refused that could be served.
+  describe('in a process that is paused past the deadline', () => {
+    // The process is paused while a call to the store is in flight. The deadline timer fires before the answer is read,
+    // the store counts as unreachable, and requests are refused that could be served.
     it('takes the answer that had arrived', async t => {
       const deadline = clock.now() + DEADLINE_MS
       const { server, connections } = await listen((_request, response) => {
@@ -42,8 +42,8 @@
       close(server, connections)
     })
 
-    // As before, but the call had not left yet when the process stood still: the other side had no time at all.
-    it('leaves the other side the time that was lost', async t => {
+    // As above, but the call had not been sent yet when the process was paused: the server had no time at all.
+    it('gives the server the time that the pause took', async t => {
       const { server, connections } = await listen((_request, response) => { response.end('known') })
       const deadline = clock.now() + DEADLINE_MS
       const answer = callServer(connections, call, clock, deadline)
@@ -53,13 +53,13 @@
     })
   })
 
-  // Guards against a long answer that is given up in its middle, with that of every other instance.
-  it('reads an answer that has begun as long as it comes, and no longer', async t => {
+  // Guards against a long answer that is aborted while it still arrives, at every instance that reads it.
+  it('reads an answer that has begun while chunks arrive, and fails when they stop', async t => {
     const { server, connections } = await listen((request, response) => {
       const last = request.url === '/stalls' ? 2 : 5
-      const write = (piece: number): void => {
+      const write = (chunk: number): void => {
         response.write('piece')
-        setTimeout(() => piece < last ? write(piece + 1) : request.url === '/stalls' || response.end(), DEADLINE_MS / 2)
+        setTimeout(() => chunk < last ? write(chunk + 1) : request.url === '/stalls' || response.end(), DEADLINE_MS / 2)
       }
       write(1)
     })
@@ -69,7 +69,7 @@
     close(server, connections)
   })
 
-  it('fails by its deadline where nothing answers', async t => {
+  it('fails at its deadline if nothing answers', async t => {
     const { server, connections } = await listen(() => {})
     t.true((await callServer(connections, call, clock, clock.now() + DEADLINE_MS)).isLeft())
     close(server, connections)
--- a/packages/foxtaillever-relay/src/servers/__tests__/serverConnections.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/serverConnections.test.ts
@@ -7,29 +7,29 @@
 import { ServerConnections } from '../serverConnections.js'
 
 const INSTANCES = 5
-const MOST_CONNECTIONS = 4
+const MAX_CONNECTIONS = 4
 const PATIENCE_MS = 30_000
 
 const call = { method: 'GET', path: '/x', headers: ['Host', 'server'], body: Buffer.alloc(0) }
 
 describe('ServerConnections of many instances', () => {
-  // Guards against idle connections that take the place of other instances' requests.
-  it('leave a server no more idle connections than it accepts', async t => {
+  // Guards against idle connections that leave no room for other instances' requests.
+  it('keep no more idle connections to a server than it accepts', async t => {
     const server = createServer((_, response) => { response.end('done') })
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
-    const instances = Array.from({ length: INSTANCES }, () => ServerConnections.create({ address, part: connectionPart(MOST_CONNECTIONS, INSTANCES) }))
+    const instances = Array.from({ length: INSTANCES }, () => ServerConnections.create({ address, part: connectionPart(MAX_CONNECTIONS, INSTANCES) }))
     const clock = SystemClock.create()
     const answers = await Promise.all(instances.flatMap(connections => [0, 1].map(async () => await callServer(connections, call, clock, clock.now() + PATIENCE_MS))))
     t.true(answers.every(answer => answer.isRight()))
     const until = clock.now() + PATIENCE_MS
     const countOpen = async (): Promise<number> => await new Promise(resolve => server.getConnections((_, count) => resolve(count)))
-    while (await countOpen() > MOST_CONNECTIONS && clock.now() < until) {
+    while (await countOpen() > MAX_CONNECTIONS && clock.now() < until) {
       await new Promise(resolve => setTimeout(resolve, 5))
     }
     const open = await countOpen()
-    // Idle connections end by themselves after four seconds.
-    t.true(open <= MOST_CONNECTIONS && clock.now() < until - PATIENCE_MS + 2000, `${open} open`)
+    // Idle connections time out after four seconds, so they must have been closed before that.
+    t.true(open <= MAX_CONNECTIONS && clock.now() < until - PATIENCE_MS + 2000, `${open} open`)
     instances.forEach(connections => connections.close())
     server.close()
   })
--- a/packages/foxtaillever-relay/src/servers/__tests__/serverDirectory.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/serverDirectory.test.ts
@@ -1,8 +1,8 @@
 /**
- * A backend server crashes and starts again under the id that it had. An instance
- * that takes it for the same server believes that it still has what was loaded and
- * queued, keeps work from it for faults that it no longer has, or sends requests on
- * connections that lead nowhere; callers wait for nothing, or get a refusal.
+ * A backend server crashes and starts again under the same id. If an instance takes it
+ * for the same incarnation, it assumes that prompts and queues are still there, avoids
+ * the server for faults that it no longer has, or sends requests on dead connections;
+ * callers wait in vain or are refused.
  */
 import { describe, it } from 'foxtaillever-testing'
 import { ServerState, type ListedServer } from '../../model/listedServer.js'
@@ -17,22 +17,22 @@
   return { id: 'e', startedAt, service: 's', address: '127.0.0.1:1', failureDomain: 'a', slots: 8, state, coldLeftMs: 0, weights: new Map([[MODEL, version]]) }
 }
 
-interface Believed {
+interface Rig {
   readonly directory: ServerDirectory
   readonly former: KnownServer
   readonly changes: string[]
 }
 
-/** A server with all that may be believed of one. */
-function believe (): Believed {
+/** A directory with one server that has every kind of known state. */
+function createRig (): Rig {
   const changes: string[] = []
   const directory = ServerDirectory.create({ onChanged: ({ state }, before) => { changes.push(`${before ?? 'none'} to ${state}`) } })
-  directory.observe(entry(FORMER), 0)
+  directory.applyEntry(entry(FORMER), 0)
   const former = directory.get('e') as KnownServer
-  Object.assign(former, { outstanding: 7, unreadTokens: 9000, heldTokens: 9000, refusedAt: 5, newestBegun: 5, changingUntil: 1e15, changingTo: { model: MODEL, version: 9 } })
-  directory.observeWeights(former, MODEL, 4)
+  Object.assign(former, { outstanding: 7, unreadTokens: 9000, heldTokens: 9000, refusedAt: 5, newestAnsweredSentAt: 5, changingUntil: 1e15, changingTo: { model: MODEL, version: 9 } })
+  directory.recordWeights(former, MODEL, 4)
   for (let fault = 0; fault < 20; fault++) {
-    directory.experience.observeFault(former, 1000)
+    directory.observations.recordFault(former, 1000)
   }
   changes.length = 0
   return { directory, former, changes }
@@ -43,29 +43,29 @@
 }
 
 describe('a backend server that starts again under its id', () => {
-  it('has nothing of what was believed of it before', t => {
-    const { directory, former, changes } = believe()
-    t.true(directory.observe(entry(NEXT, 3), 1))
+  it('keeps none of the state that was known of its previous incarnation', t => {
+    const { directory, former, changes } = createRig()
+    t.true(directory.applyEntry(entry(NEXT, 3), 1))
     const next = current(directory)
     t.not(next, former)
     t.is(next.weights.get(MODEL), 3)
-    t.deepEqual([next.outstanding, next.unreadTokens, next.heldTokens, next.refusedAt, next.newestBegun, next.changingUntil, next.changingTo], [0, 0, 0, 0, 0, 0, undefined])
+    t.deepEqual([next.outstanding, next.unreadTokens, next.heldTokens, next.refusedAt, next.newestAnsweredSentAt, next.changingUntil, next.changingTo], [0, 0, 0, 0, 0, 0, undefined])
     t.true(former.health.faultShare(1000) > 0)
     t.is(next.health.faultShare(1000), 0)
     t.deepEqual(changes, ['none to ready'])
     t.deepEqual(directory.ready('s'), [next])
   })
 
-  it('is not changed by what comes late from the former one: an answer, a peer\'s word, a report, an entry', t => {
-    const { directory, former } = believe()
-    directory.observe(entry(NEXT, 3), 1)
+  it('is not changed by a late answer, peer message, report or entry of the former incarnation', t => {
+    const { directory, former } = createRig()
+    directory.applyEntry(entry(NEXT, 3), 1)
     const next = current(directory)
-    directory.observeWeights(former, MODEL, 8)
-    directory.experience.observeFault(former, 1000)
+    directory.recordWeights(former, MODEL, 8)
+    directory.observations.recordFault(former, 1000)
     former.outstanding -= 1
-    t.is(directory.ofHash(former.hash), undefined)
-    t.false(directory.observeStart(next, FORMER))
-    t.false(directory.observe(entry(FORMER, 7, ServerState.Draining), 2))
+    t.is(directory.getByHash(former.hash), undefined)
+    t.false(directory.recordStart(next, FORMER))
+    t.false(directory.applyEntry(entry(FORMER, 7, ServerState.Draining), 2))
     t.is(current(directory), next)
     t.is(next.listed.state, ServerState.Ready)
     t.is(next.weights.get(MODEL), 3)
@@ -73,114 +73,114 @@
     t.is(next.health.faultShare(1000), 0)
   })
 
-  it('is known by its own word before the list names it, and the list\'s late word of the former one changes nothing', t => {
-    const { directory, former } = believe()
-    t.false(directory.observeStart(former, NEXT))
+  it('is known by its own report before the list contains it, and a late list entry of the former incarnation changes nothing', t => {
+    const { directory, former } = createRig()
+    t.false(directory.recordStart(former, NEXT))
     const next = current(directory)
     t.is(next.listed.startedAt, NEXT)
-    t.is(directory.ofHash(next.hash), next)
-    directory.observe(entry(FORMER, 7), 5)
+    t.is(directory.getByHash(next.hash), next)
+    directory.applyEntry(entry(FORMER, 7), 5)
     t.is(current(directory), next)
-    t.true(directory.observe(entry(NEXT, 3), 6))
+    t.true(directory.applyEntry(entry(NEXT, 3), 6))
     t.is(current(directory), next)
     t.is(next.weights.get(MODEL), 3)
   })
 
-  it('is the same one when it says the same start', t => {
-    const { directory, former } = believe()
-    directory.observe(entry(FORMER, 5), 1)
+  it('is the same incarnation when it reports the same start', t => {
+    const { directory, former } = createRig()
+    directory.applyEntry(entry(FORMER, 5), 1)
     t.is(current(directory), former)
     t.is(former.weights.get(MODEL), 5)
     t.is(former.outstanding, 7)
-    t.true(directory.observeStart(former, FORMER))
+    t.true(directory.recordStart(former, FORMER))
   })
 
-  it('serves although the former one was leaving, and the former one never comes back, not even after a removal', t => {
-    const { directory } = believe()
-    directory.observe(entry(FORMER, 1, ServerState.Draining), 1)
-    directory.observe(entry(FORMER, 1), 2)
+  it('serves although the former incarnation was leaving, which never returns, not even after a removal', t => {
+    const { directory } = createRig()
+    directory.applyEntry(entry(FORMER, 1, ServerState.Draining), 1)
+    directory.applyEntry(entry(FORMER, 1), 2)
     t.is(current(directory).listed.state, ServerState.Draining)
-    directory.observe(entry(NEXT), 3)
+    directory.applyEntry(entry(NEXT), 3)
     t.is(current(directory).listed.state, ServerState.Ready)
     directory.remove('e', 4)
-    t.false(directory.observe(entry(FORMER), 5))
+    t.false(directory.applyEntry(entry(FORMER), 5))
     t.is(directory.get('e'), undefined)
-    directory.observe(entry(NEXT), 6)
+    directory.applyEntry(entry(NEXT), 6)
     t.is(current(directory).listed.startedAt, NEXT)
   })
 })
 
 describe('an entry that cannot be read', () => {
-  // Another writer has put something under the key of a live server. It is no word of the server, so nothing is sent there
-  // on the strength of it; what is on its way goes on, and the server's next entry brings it back as it was.
-  it('keeps new work from its server until the next one that can be', t => {
-    const { directory, former } = believe()
-    t.true(directory.observeUnreadable('e', 1))
+  // Another writer overwrote the entry of a live server. Because the server did not write this entry, no new work is sent
+  // there; requests in flight continue, and the server's next own entry restores it as it was.
+  it('keeps new work from its server until an entry can be read again', t => {
+    const { directory, former } = createRig()
+    t.true(directory.markUnreadable('e', 1))
     t.deepEqual(directory.ready('s'), [])
-    t.false(directory.observeUnreadable('e', 2))
-    t.false(directory.observe(entry(FORMER), 1))
-    t.true(directory.observe(entry(FORMER), 3))
+    t.false(directory.markUnreadable('e', 2))
+    t.false(directory.applyEntry(entry(FORMER), 1))
+    t.true(directory.applyEntry(entry(FORMER), 3))
     t.deepEqual(directory.ready('s'), [former])
     t.is(former.outstanding, 7)
   })
 
-  it('does not bring a leaving server back, and names none that is not known', t => {
-    const { directory } = believe()
-    directory.observe(entry(FORMER, 1, ServerState.Draining), 1)
-    directory.observeUnreadable('e', 2)
-    directory.observe(entry(FORMER), 3)
+  it('does not make a leaving server ready, and adds no unknown server', t => {
+    const { directory } = createRig()
+    directory.applyEntry(entry(FORMER, 1, ServerState.Draining), 1)
+    directory.markUnreadable('e', 2)
+    directory.applyEntry(entry(FORMER), 3)
     t.deepEqual(directory.ready('s'), [])
-    t.false(directory.observeUnreadable('other', 4))
+    t.false(directory.markUnreadable('other', 4))
     t.is(directory.get('other'), undefined)
   })
 })
 
-describe('a server that said in an answer that it leaves', () => {
-  const HEARD = FORMER + 4000
+describe('a server that stated in an answer that it leaves', () => {
+  const RECEIVED_AT = FORMER + 4000
 
-  // Guards against older words of the list that take back what the server said itself.
+  // Guards against older list entries that override the server's own statement.
   it('stays leaving through entries, a removal and a return to the list', t => {
-    const { directory, changes } = believe()
-    t.true(directory.observeLeaving('e', HEARD))
-    t.false(directory.observeLeaving('e', HEARD + 1))
-    directory.observe(entry(FORMER), 1)
+    const { directory, changes } = createRig()
+    t.true(directory.markLeaving('e', RECEIVED_AT))
+    t.false(directory.markLeaving('e', RECEIVED_AT + 1))
+    directory.applyEntry(entry(FORMER), 1)
     t.deepEqual(directory.ready('s'), [])
     directory.remove('e', 2)
-    directory.observe(entry(FORMER), 3)
+    directory.applyEntry(entry(FORMER), 3)
     t.deepEqual(directory.ready('s'), [])
     t.deepEqual(changes, ['ready to draining', 'draining to gone', 'none to draining'])
   })
 
-  it('stays leaving where the word came while the list did not name it', t => {
-    const { directory } = believe()
+  it('stays leaving if the statement arrived while the list did not contain it', t => {
+    const { directory } = createRig()
     directory.remove('e', 1)
-    directory.observeLeaving('e', HEARD)
-    directory.observe(entry(FORMER), 2)
+    directory.markLeaving('e', RECEIVED_AT)
+    directory.applyEntry(entry(FORMER), 2)
     t.deepEqual(directory.ready('s'), [])
   })
 
   it('serves again once it has started again', t => {
-    const { directory } = believe()
-    directory.observeLeaving('e', HEARD)
-    directory.observe(entry(NEXT), 1)
+    const { directory } = createRig()
+    directory.markLeaving('e', RECEIVED_AT)
+    directory.applyEntry(entry(NEXT), 1)
     t.is(current(directory).listed.state, ServerState.Ready)
   })
 
-  // Guards against a start that is learned late and unsays what came after it.
-  it('stays leaving where the word is younger than the start that becomes known', t => {
+  // Guards against a start that is learned late and discards statements made after it.
+  it('stays leaving if it stated so after the start that becomes known', t => {
     for (const learn of [
-      (directory: ServerDirectory) => directory.observe(entry(NEXT), 1),
-      (directory: ServerDirectory, former: KnownServer) => directory.observeStart(former, NEXT)
+      (directory: ServerDirectory) => directory.applyEntry(entry(NEXT), 1),
+      (directory: ServerDirectory, former: KnownServer) => directory.recordStart(former, NEXT)
     ]) {
-      const { directory, former } = believe()
-      directory.observeLeaving('e', NEXT + 1)
+      const { directory, former } = createRig()
+      directory.markLeaving('e', NEXT + 1)
       learn(directory, former)
       t.is(current(directory).listed.startedAt, NEXT)
       t.deepEqual(directory.ready('s'), [])
     }
   })
 
-  it('names none that is not known', t => {
-    t.false(believe().directory.observeLeaving('other', HEARD))
+  it('is not added if it is unknown', t => {
+    t.false(createRig().directory.markLeaving('other', RECEIVED_AT))
   })
 })
--- /dev/null
+++ b/packages/foxtaillever-relay/src/servers/__tests__/serverSelector.test.ts
@@ -0,0 +1,97 @@
+import { SeededRandom } from 'foxtaillever-core'
+import { describe, it, VirtualClock } from 'foxtaillever-testing'
+import { exchangeAt } from '../../__fixtures__/exchanges.js'
+import { ServerState } from '../../model/listedServer.js'
+import { FleetUse } from '../../peers/fleetUse.js'
+import { ServerSelector } from '../serverSelector.js'
+import { ServerDirectory } from '../serverDirectory.js'
+
+const BOUND_MS = 8000
+const SLOTS = 48
+
+/** Whether the only engine is chosen with this many outstanding requests, this long after newer weights were named. */
+function isChosen (outstanding: number, outdatedMs: number): boolean {
+  const clock = VirtualClock.create()
+  const directory = ServerDirectory.create({ onChanged: () => {} })
+  directory.applyEntry({ id: 'e', startedAt: 0, service: 'engines', address: '127.0.0.1:1', failureDomain: 'a', slots: SLOTS, state: ServerState.Ready, coldLeftMs: 0, weights: new Map([['model', 1]]) }, 0)
+  const engine = directory.get('e')
+  if (engine) {
+    engine.outstanding = outstanding
+  }
+  const weights = { outdatedSince: () => clock.now() - outdatedMs }
+  const choice = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad: FleetUse.create(clock), levelSupply: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 0 }), stores: () => [], weights, weightsBoundMs: BOUND_MS })
+  return choice.selectServer(exchangeAt(clock.now()), { failed: new Set(), wasMisdirected: false }) !== undefined
+}
+
+/** The engine chosen among twenty: the queried ones have the given numbers of tokens to process, and nothing is known of the others. */
+function chooseAmong (queried: ReadonlyMap<string, number>, changing: readonly string[] = [], backingOff: readonly string[] = []): string | undefined {
+  const clock = VirtualClock.create()
+  const directory = ServerDirectory.create({ onChanged: () => {} })
+  const fleetLoad = FleetUse.create(clock)
+  for (let index = 0; index < 20; index += 1) {
+    const id = `e${index}`
+    directory.applyEntry({ id, startedAt: 0, service: 'engines', address: `127.0.0.1:${index + 1}`, failureDomain: 'a', slots: SLOTS, state: ServerState.Ready, coldLeftMs: 0, weights: new Map([['model', 1]]) }, index)
+    const engine = directory.get(id)
+    const tokens = queried.get(id)
+    if (engine && tokens !== undefined) {
+      fleetLoad.learn(engine.hash, { outstanding: 4, tokens, heldTokens: 0 })
+      engine.changingUntil = changing.includes(id) ? Infinity : 0
+      engine.peerBackoffUntil = backingOff.includes(id) ? Infinity : 0
+    }
+  }
+  const choice = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad, levelSupply: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 9190 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
+  const hashes = new Set([...queried.keys()].flatMap(id => directory.get(id)?.hash ?? []))
+  return choice.selectServer(exchangeAt(clock.now(), { service: 'engines', prompt: { model: 'model', levels: [{ id: 'root', tokens: 6300 }, { id: 'own', tokens: 2890 }], promptTokens: 9190, outputTokens: 10 } }), { failed: new Set(), wasMisdirected: false }, hashes)?.listed.id
+}
+
+describe('ServerSelector with many servers', () => {
+  // All engines have a queue. It is known only of the queried ones; what was known of the others is seconds old and has
+  // decayed. A prompt sent to one of the others waits as long, and its shared levels are computed once more.
+  it('takes the best queried server, not one of which nothing is known', t => {
+    t.is(chooseAmong(new Map([['e3', 30_000], ['e7', 20_000]])), 'e7')
+  })
+
+  // Guards against a request to a server that has just asked another instance for backoff.
+  it('skips a server that is backing off for other instances while another accepts requests', t => {
+    t.is(chooseAmong(new Map([['e3', 30_000], ['e7', 20_000]]), [], ['e7']), 'e3')
+  })
+
+  it('takes another server if no queried one accepts requests', t => {
+    const chosen = chooseAmong(new Map([['e3', 30_000], ['e7', 20_000]]), ['e3', 'e7'])
+    t.false(['e3', 'e7'].includes(chosen ?? ''))
+  })
+})
+
+describe('ServerSelector for runs with a long output', () => {
+  // Each run occupies one of sixteen slots for seconds. If runs concentrate on few engines, prompts wait there for a slot
+  // and running streams pause, while most of the fleet has free slots.
+  it('occupies at most half of the slots of any engine while a fifth of the fleet\'s slots are occupied', t => {
+    const clock = VirtualClock.create()
+    const directory = ServerDirectory.create({ onChanged: () => {} })
+    for (let index = 0; index < 20; index += 1) {
+      directory.applyEntry({ id: `e${index}`, startedAt: 0, service: 'engines', address: `127.0.0.1:${index + 1}`, failureDomain: 'a', slots: 16, state: ServerState.Ready, coldLeftMs: 0, weights: new Map([['model', 1]]) }, index)
+    }
+    const choice = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad: FleetUse.create(clock), levelSupply: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 628 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
+    for (let run = 0; run < 64; run += 1) {
+      const prompt = { model: 'model', levels: [{ id: `subject-${run}`, tokens: 198 }, { id: `own-${run}`, tokens: 628 }], promptTokens: 826, outputTokens: 500 }
+      const engine = choice.selectServer(exchangeAt(clock.now(), { service: 'engines', prompt }), { failed: new Set(), wasMisdirected: false })
+      if (engine) {
+        engine.outstanding += 1
+      }
+    }
+    const taken = directory.ready('engines').map(({ outstanding }) => outstanding)
+    t.is(taken.reduce((sum, count) => sum + count, 0), 64)
+    t.true(Math.max(...taken) <= 8, String(taken))
+  })
+})
+
+describe('ServerSelector with replaced weights', () => {
+  // Guards against a request that waits two seconds in the queue of a full engine and begins after the bound, on weights
+  // that are no longer allowed.
+  it('accounts for the wait in the queue of a full engine', t => {
+    t.true(isChosen(10, 6000))
+    t.false(isChosen(10, 7000))
+    t.true(isChosen(SLOTS, 4500))
+    t.false(isChosen(SLOTS, 6000))
+  })
+})
--- a/packages/foxtaillever-relay/src/servers/__tests__/statementHistory.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/statementHistory.test.ts
@@ -3,11 +3,11 @@
 
 const SEEDS = 60
 
-describe('an instance over drawn histories of servers that speak of themselves', () => {
-  // Guards against words that are lost, unsaid by older ones, or kept against a server that started again.
-  it('heeds each server, and keeps none from work that is well', async t => {
+describe('an instance over random histories of servers that state things about themselves', () => {
+  // Guards against statements that are lost, overridden by older ones, or still applied to a server that started again.
+  it('obeys each server\'s statements and leaves no available server without work', async t => {
     for (let seed = 1; seed <= SEEDS; seed += 1) {
-      t.deepEqual(await StatementHistory.play(seed), [], `seed ${seed}`)
+      t.deepEqual(await StatementHistory.run(seed), [], `seed ${seed}`)
     }
   })
 })
--- a/packages/foxtaillever-relay/src/servers/callServer.ts
+++ b/packages/foxtaillever-relay/src/servers/callServer.ts
@@ -1,4 +1,4 @@
-/** A short call of the process itself: sent once, answered whole or failed by its deadline. */
+/** Sends a short call of this process once and reads its complete answer; the call fails at its deadline. */
 import type { IncomingMessage } from 'node:http'
 import { atAfterSilence, Failure, FailureCode, Verdict, type Cancellation, type Clock } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
@@ -11,15 +11,15 @@
 }
 
 /**
- * @param deadline milliseconds of Unix time; a connection that went silent is closed then.
- * @param pieceMs an answer that has begun may go on beyond the deadline while its pieces come no further apart than this.
+ * @param deadline milliseconds of Unix time; the connection is closed if no answer has begun by then.
+ * @param chunkTimeoutMs an answer that has begun may continue beyond the deadline while no gap between its chunks is longer than this.
  */
-export async function callServer (connections: ServerConnections, call: ServerCall, clock: Clock, deadline: number, pieceMs = 0): Promise<Either<Failure, WholeAnswer>> {
+export async function callServer (connections: ServerConnections, call: ServerCall, clock: Clock, deadline: number, chunkTimeoutMs = 0): Promise<Either<Failure, WholeAnswer>> {
   return await new Promise(resolve => {
     let verdict = Verdict.NotRun
     const request = connections.send(call, () => { verdict = Verdict.MayHaveRun })
-    const endAt = (at: number): Cancellation => atAfterSilence(clock, at, () => request.destroy(new Error('no answer in time')))
-    let cancelDeadline = endAt(deadline)
+    const timeOutAt = (at: number): Cancellation => atAfterSilence(clock, at, () => request.destroy(new Error('no answer in time')))
+    let cancelDeadline = timeOutAt(deadline)
     const fail = (error: Error): void => {
       cancelDeadline()
       const code = verdict === Verdict.NotRun ? FailureCode.ConnectionRefused : FailureCode.ConnectionLost
@@ -30,10 +30,10 @@
       const chunks: Buffer[] = []
       response.on('data', chunk => {
         chunks.push(chunk)
-        const until = clock.now() + pieceMs
+        const until = clock.now() + chunkTimeoutMs
         if (until > deadline) {
           cancelDeadline()
-          cancelDeadline = endAt(until)
+          cancelDeadline = timeOutAt(until)
         }
       })
       response.on('error', fail)
--- a/packages/foxtaillever-relay/src/servers/knownServer.ts
+++ b/packages/foxtaillever-relay/src/servers/knownServer.ts
@@ -1,60 +1,60 @@
-/** What this instance knows of one start of a backend server. */
+/** What this instance knows about one incarnation of a backend server. */
 import { hashNumber } from 'foxtaillever-core'
 import { ServerHealth } from 'foxtaillever-policy/relay/serverHealth'
 import type { StatedState } from 'foxtaillever-policy/relay/statedState'
 import type { ListedServer } from '../model/listedServer.js'
 import type { ServerConnections } from './serverConnections.js'
 
-/** What an incarnation is called among instances. */
+/** Identifies an incarnation in messages between instances. */
 export function incarnationHash ({ id, startedAt }: Pick<ListedServer, 'id' | 'startedAt'>): number {
   return hashNumber(startedAt === 0 ? id : `${id}@${startedAt}`)
 }
 
 /** A version of one model's weights. */
-export interface WeightsOf {
+export interface ModelWeights {
   readonly model: string
   readonly version: number
 }
 
 export interface KnownServer {
   listed: ListedServer
-  /** Of the incarnation: what instances call it among themselves, so that a word on the former one is not taken for this one. */
+  /** Of the incarnation. Instances identify it by this hash, so that a message about the previous incarnation is not applied to this one. */
   readonly hash: number
-  /** Of its id, by which levels have their homes. */
+  /** Of its id; rendezvous hashing uses it to assign prompt levels to their home servers. */
   readonly idHash: number
-  /** Offset of the record that the entry comes from; a lower one never replaces it. */
+  /** Offset of the record that the entry comes from; a record with a lower offset never replaces it. */
   offset: number
   readonly connections: ServerConnections
-  /** What it has stated of itself. */
+  /** What the server has stated about itself. */
   readonly stated: StatedState
-  /** Newest weights version seen of each model, by the list, a report or an answer. */
+  /** Newest weights version of each model, as seen in the server list, a report or an answer. */
   readonly weights: Map<string, number>
-  /** Requests of this instance that it has not answered yet. */
+  /** Requests from this instance that the server has not answered yet. */
   outstanding: number
-  /** Prompt tokens that it has yet to read for these before their first event. */
+  /** Prompt tokens of the outstanding requests that the server must still process before their first events. */
   unreadTokens: number
-  /** Tokens of its memory that these take until they end. */
+  /** Tokens of the server's memory that the outstanding requests occupy until they end. */
   heldTokens: number
-  /** Another server was found at its address: it gets nothing until then, milliseconds of Unix time. */
+  /** Another server answered at its address: nothing is sent to it until then, milliseconds of Unix time. */
   displacedUntil: number
-  /** Nobody listened at its address: it gets nothing that can go elsewhere until then, milliseconds of Unix time. */
+  /** Its address refused a connection: until then it gets only requests that no other server can take, milliseconds of Unix time. */
   absentUntil: number
-  /** The limit that it stated is used up: it gets nothing until then, milliseconds of Unix time. */
+  /** The limit that it stated is used up: it gets no requests until then, milliseconds of Unix time. */
   limitedUntil: number
-  /** When it last turned a request away, milliseconds of Unix time. */
+  /** When the server last refused a request, milliseconds of Unix time. */
   refusedAt: number
-  /** It rests for other instances, as far as was asked for, until then, milliseconds of Unix time. */
-  restingForOthersUntil: number
+  /** Other instances reported, when queried, that the server asked them for backoff; counts until then, milliseconds of Unix time. */
+  peerBackoffUntil: number
   readonly health: ServerHealth
-  /** When the newest of the requests was sent that it has begun to answer, milliseconds of Unix time. */
-  newestBegun: number
-  /** An order changes its weights until then, milliseconds of Unix time. */
+  /** When the most recently sent of the requests that it has begun to answer was sent, milliseconds of Unix time. */
+  newestAnsweredSentAt: number
+  /** Its weights are being changed by an order until then, milliseconds of Unix time. */
   changingUntil: number
-  /** The weights that it will have after that; undefined when it never changed. */
-  changingTo: WeightsOf | undefined
+  /** The weights that it will have after that change; undefined if its weights were never changed. */
+  changingTo: ModelWeights | undefined
 }
 
-/** A start of which nothing is known but its entry and what it has stated already. */
+/** Creates an incarnation about which only its entry and its earlier statements are known. */
 export function createKnownServer (listed: ListedServer, offset: number, stated: StatedState, connections: ServerConnections): KnownServer {
   return {
     listed,
@@ -71,9 +71,9 @@
     absentUntil: 0,
     limitedUntil: 0,
     refusedAt: 0,
-    restingForOthersUntil: 0,
+    peerBackoffUntil: 0,
     health: ServerHealth.create(),
-    newestBegun: 0,
+    newestAnsweredSentAt: 0,
     changingUntil: 0,
     changingTo: undefined
   }
--- a/packages/foxtaillever-relay/src/servers/serverConnections.ts
+++ b/packages/foxtaillever-relay/src/servers/serverConnections.ts
@@ -1,64 +1,64 @@
 /**
  * Connections to one backend server, kept between requests.
  *
- * By node:http rather than undici: undici takes an unframed or chunked answer
- * that was announced as the connection's last for complete when the connection
- * is reset, so a cut answer would be passed on as a whole one.
+ * Uses node:http rather than undici: when a connection is reset, undici treats an
+ * unframed or chunked answer that was announced as the connection's last as complete,
+ * so a truncated answer would be passed on as a complete one.
  */
 import { Agent, request, type AgentOptions, type ClientRequest, type IncomingHttpHeaders, type IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
 import type { ConnectionPart } from 'foxtaillever-policy/relay/connectionPart'
 
-/** An idle connection is closed after this unless the server says otherwise, milliseconds. */
+/** An idle connection is closed after this unless the server states another time, milliseconds. */
 const IDLE_TIMEOUT_MS = 4000
 
-/** Idle connections end this long before the server closes them, so that no request crosses its close, milliseconds. */
+/** Idle connections are closed this long before the server closes them, so that no request is sent while it closes, milliseconds. */
 const IDLE_MARGIN_MS = 1000
 
-/** First probe of an idle connection, which shows a peer that went silent without closing, milliseconds. */
+/** Idle time before the first probe, which detects a peer that went silent without closing the connection, milliseconds. */
 const KEEP_ALIVE_PROBE_MS = 1000
 
 const KEEP_ALIVE_HINT = /timeout=(\d+)/
 
-/** What node:http keeps of the last answer on a socket. */
-interface SocketOfAnswer extends Socket {
+/** The last answer on a socket, as node:http keeps it. */
+interface SocketWithAnswer extends Socket {
   _httpMessage?: { res?: IncomingMessage | null } | null
 }
 
 /**
- * Keeps a connection only while nothing unexpected comes on it. A server may
- * send a second answer after a complete one; read by the next request, it would
- * be taken for that request's.
+ * Closes an idle connection as soon as unexpected data arrives on it. A server may send
+ * a second answer after a complete one, which would be taken for the answer to the
+ * next request.
  */
 class ServerAgent extends Agent {
-  private readonly unasked = new WeakMap<Duplex, () => void>()
-  private readonly restingSince = new WeakMap<Duplex, number>()
+  private readonly idleListeners = new WeakMap<Duplex, () => void>()
+  private readonly idleSince = new WeakMap<Duplex, number>()
 
   constructor (options: AgentOptions, private readonly now: () => number) {
     super(options)
   }
 
-  /** Closes idle connections that have served nothing for so long, milliseconds. */
-  closeRested (restedMs: number): void {
-    const until = this.now() - restedMs
+  /** Closes connections that have been idle for at least this long, milliseconds. */
+  closeIdleFor (idleMs: number): void {
+    const until = this.now() - idleMs
     Object.values(this.freeSockets).flat().forEach(socket => {
-      if (socket && (this.restingSince.get(socket) ?? 0) <= until) {
+      if (socket && (this.idleSince.get(socket) ?? 0) <= until) {
         socket.destroy()
       }
     })
   }
 
   override keepSocketAlive (duplex: Duplex): boolean {
-    const socket = duplex as SocketOfAnswer
+    const socket = duplex as SocketWithAnswer
     const hint = KEEP_ALIVE_HINT.exec(String(socket._httpMessage?.res?.headers['keep-alive'] ?? ''))?.[1]
     const idleMs = hint === undefined ? IDLE_TIMEOUT_MS : Number(hint) * 1000 - IDLE_MARGIN_MS
     if (idleMs <= 0 || socket.readableLength > 0 || socket.readableEnded) {
       return false
     }
     const destroy = (): void => { socket.destroy() }
-    this.restingSince.set(socket, this.now())
-    this.unasked.set(socket, destroy)
+    this.idleSince.set(socket, this.now())
+    this.idleListeners.set(socket, destroy)
     socket.on('data', destroy)
     socket.on('end', destroy)
     socket.setTimeout(idleMs, destroy)
@@ -68,7 +68,7 @@
 
   override reuseSocket (duplex: Duplex, message: ClientRequest): void {
     const socket = duplex as Socket
-    const destroy = this.unasked.get(socket)
+    const destroy = this.idleListeners.get(socket)
     if (destroy) {
       socket.off('data', destroy)
       socket.off('end', destroy)
@@ -87,20 +87,20 @@
   readonly body: Buffer
 }
 
-/** The server takes nothing from this instance now; no byte has left. */
-export class ClosedServerError extends Error {}
+/** This instance must not send to the server now; no byte has been sent. */
+export class SendNotAllowedError extends Error {}
 
-/** Hears the head of every answer of the server, before whoever sent the request. */
+/** Receives the status and headers of every answer of the server, before the sender of the request does. */
 export type AnswerListener = (status: number, headers: IncomingHttpHeaders, sentAt: number) => void
 
 export interface ServerConnectionsOptions {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string
   readonly part: ConnectionPart
-  /** Steady milliseconds. */
+  /** Milliseconds of a monotonic clock. */
   readonly now?: (() => number) | undefined
-  /** Asked right before the first byte of a request leaves. */
-  readonly mayLeave?: () => boolean
+  /** Checked right before the first byte of a request is sent. */
+  readonly maySend?: () => boolean
   readonly onAnswer?: AnswerListener
 }
 
@@ -109,18 +109,18 @@
   private readonly host: string
   private readonly port: number
   private readonly now: () => number
-  private readonly mayLeave: () => boolean
+  private readonly maySend: () => boolean
   private readonly onAnswer: AnswerListener
 
-  private constructor ({ address, part, now = () => performance.now(), mayLeave = () => true, onAnswer = () => {} }: ServerConnectionsOptions) {
+  private constructor ({ address, part, now = () => performance.now(), maySend = () => true, onAnswer = () => {} }: ServerConnectionsOptions) {
     this.now = now
-    this.mayLeave = mayLeave
+    this.maySend = maySend
     this.onAnswer = onAnswer
     const colon = address.lastIndexOf(':')
     this.host = address.slice(0, colon)
     this.port = Number(address.slice(colon + 1))
     this.agent = new ServerAgent({ keepAlive: true, scheduling: 'lifo' }, now)
-    this.limit(part)
+    this.setLimits(part)
   }
 
   static create (options: ServerConnectionsOptions): ServerConnections {
@@ -129,48 +129,48 @@
 
   /**
    * Begins a request and sends its body.
-   * @param onLeft called right before the first byte may leave: from then on the request may have run.
+   * @param onBeforeSend called right before the first byte may be sent: from then on the request may have run.
    */
-  send ({ method, path, headers, body }: ServerCall, onLeft: () => void): ClientRequest {
+  send ({ method, path, headers, body }: ServerCall, onBeforeSend: () => void): ClientRequest {
     const { host, port, agent } = this
     const call = request({ host, port, agent, method, path, headers: headers as unknown as Record<string, string>, setHost: false })
     const sentAt = this.now()
     call.on('response', ({ statusCode = 0, headers }) => this.onAnswer(statusCode, headers, sentAt))
-    const leave = (): void => {
-      if (this.mayLeave()) {
-        onLeft()
+    const startSending = (): void => {
+      if (this.maySend()) {
+        onBeforeSend()
       } else {
-        call.destroy(new ClosedServerError(`The server at ${host}:${port} takes nothing now.`))
+        call.destroy(new SendNotAllowedError(`The server at ${host}:${port} accepts no requests now.`))
       }
     }
     call.on('socket', socket => {
       if (!socket.connecting) {
-        leave()
+        startSending()
         return
       }
-      socket.once('connect', leave)
+      socket.once('connect', startSending)
     })
     call.end(body.length > 0 ? body : undefined)
     return call
   }
 
-  /** Other instances came or went, so that this one's part of the server's connections is another. */
-  limit ({ total, idle }: ConnectionPart): void {
+  /** Sets this instance's share of the server's connections, which changes with the number of instances. */
+  setLimits ({ total, idle }: ConnectionPart): void {
     this.agent.maxSockets = total
     this.agent.maxFreeSockets = idle
   }
 
-  /** Closes idle connections; those at work end with their request. */
+  /** Closes idle connections; busy ones remain open until their request ends. */
   closeIdle (): void {
-    this.closeRested(0)
+    this.closeIdleFor(0)
   }
 
-  /** Closes idle connections that have served nothing for so long, milliseconds. */
-  closeRested (restedMs: number): void {
-    this.agent.closeRested(restedMs)
+  /** Closes connections that have been idle for at least this long, milliseconds. */
+  closeIdleFor (idleMs: number): void {
+    this.agent.closeIdleFor(idleMs)
   }
 
-  /** Nothing is kept any more; requests on their way end in peace. */
+  /** Keeps no more idle connections; requests in flight finish normally. */
   close (): void {
     this.agent.maxFreeSockets = 0
     this.closeIdle()
--- a/packages/foxtaillever-relay/src/servers/serverDirectory.ts
+++ b/packages/foxtaillever-relay/src/servers/serverDirectory.ts
@@ -1,12 +1,13 @@
 /**
  * The backend servers as this instance knows them. Entries come from records of
- * the platform's store, read here or told by another instance; the record's
- * offset is the belief's version, so that nothing ever goes back. What is gone
- * stays known as gone for a while, because an older word of it may still come.
+ * the platform's store, read here or received from another instance. The record's
+ * offset is the version of the entry, so that an older record never replaces a newer
+ * one. Removed servers stay known as removed, because an older record of them may
+ * still arrive.
  *
- * A server may start again under its id. The new incarnation has nothing that the
- * former one had: it gets a `KnownServer` of its own, and whoever still holds the
- * former one, such as a request on its way there, changes only that.
+ * A server may start again under its id. The new incarnation keeps no state of the
+ * previous one: it gets its own `KnownServer`, and code that still holds the previous
+ * one, such as a request in flight, changes only that.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import { connectionPart, type ConnectionPart } from 'foxtaillever-policy/relay/connectionPart'
@@ -17,18 +18,18 @@
 import type { SpeedNews } from '../peers/peerMessage.js'
 import { createKnownServer, type KnownServer } from './knownServer.js'
 import { ServerConnections } from './serverConnections.js'
-import { ServerExperience } from './serverExperience.js'
-import { reachableFrom } from './serverOpening.js'
+import { ServerObservations } from './serverObservations.js'
+import { reachableFrom } from './serverAvailability.js'
 
-/** Connections to a server before the configuration says how many it takes. */
+/** Connections to a server before the configuration states how many it accepts. */
 const DEFAULT_CONNECTIONS = 16
 
 export interface ServerDirectoryOptions {
   /** The state of a server has changed, or it is new. */
   readonly onChanged: (server: ListedServer, before: ServerState | undefined) => void
-  /** A server has answered a request of any kind, sent at the time by `now`. */
+  /** A server has answered a request of any kind; `sentAt` is a time of `now`. */
   readonly onAnswer?: (server: KnownServer, status: number, headers: IncomingHttpHeaders, sentAt: number) => void
-  /** Milliseconds of Unix time, steady. */
+  /** Milliseconds of Unix time, monotonic. */
   readonly now?: () => number
 }
 
@@ -44,12 +45,12 @@
   private readonly servers = new Map<string, KnownServer>()
   /** The same servers by the hash of their incarnation. */
   private readonly byHash = new Map<number, KnownServer>()
-  private readonly gone = new Map<string, Removal>()
-  /** What requests have shown of the servers. */
-  readonly experience = ServerExperience.create()
+  private readonly removals = new Map<string, Removal>()
+  /** What requests have shown about the servers. */
+  readonly observations = ServerObservations.create()
   private routing: Routing | undefined
   /** Instances that share a server's connections. */
-  private instances = 1
+  private instanceCount = 1
 
   private readonly now: () => number
 
@@ -66,42 +67,42 @@
     this.limitConnections()
   }
 
-  observeInstances (count: number): void {
+  setInstanceCount (count: number): void {
     const instances = Math.max(1, count)
-    if (instances !== this.instances) {
-      this.instances = instances
+    if (instances !== this.instanceCount) {
+      this.instanceCount = instances
       this.limitConnections()
     }
   }
 
-  /** The limits of services and the number of instances may both change after a server was added. */
+  /** Limits of services and the number of instances may both change after a server was added. */
   private limitConnections (): void {
-    this.servers.forEach(({ listed, connections }) => connections.limit(this.connectionPart(listed.service)))
+    this.servers.forEach(({ listed, connections }) => connections.setLimits(this.connectionPart(listed.service)))
   }
 
   private connectionPart (service: string): ConnectionPart {
-    return connectionPart(this.routing?.services.get(service)?.mostConnections ?? DEFAULT_CONNECTIONS, this.instances)
+    return connectionPart(this.routing?.services.get(service)?.mostConnections ?? DEFAULT_CONNECTIONS, this.instanceCount)
   }
 
   /**
-   * Takes in an entry; an older one than is known changes nothing.
-   * @returns whether the entry says anything else than the one before.
+   * Applies an entry; one that is older than the known entry changes nothing.
+   * @returns whether the entry differs from the previous one.
    */
-  observe (listed: ListedServer, offset: number): boolean {
-    // The last record of a former incarnation may stand behind the first one of the next.
-    if (!this.isNewer(listed.id, offset) || listed.startedAt < this.startOf(listed.id)) {
+  applyEntry (listed: ListedServer, offset: number): boolean {
+    // The last record of one incarnation may come after the first record of the next.
+    if (!this.isNewer(listed.id, offset) || listed.startedAt < this.newestStartOf(listed.id)) {
       return false
     }
     const known = this.incarnationOf(listed)
     const before = known?.listed
-    const server = known ?? this.add(listed, offset)
+    const server = known ?? this.addIncarnation(listed, offset)
     if (listed.state === ServerState.Draining) {
       server.stated.observeLeaving(0)
     }
-    // An incarnation that said it leaves does not come back.
+    // An incarnation that stated that it leaves never serves again.
     server.listed = { ...listed, state: server.stated.isLeaving ? ServerState.Draining : listed.state }
     server.offset = offset
-    listed.weights.forEach((version, model) => this.observeWeights(server, model, version))
+    listed.weights.forEach((version, model) => this.recordWeights(server, model, version))
     if (before?.state !== server.listed.state) {
       this.options.onChanged(server.listed, before?.state)
     }
@@ -109,11 +110,11 @@
   }
 
   /**
-   * The newest entry of the id says nothing that can be used, as when another
-   * writer has put it there: no new work goes there until a later one does.
-   * @returns whether that is news.
+   * The newest entry of the id cannot be read, for example because another writer
+   * wrote it: the server gets no new work until a later entry can be read.
+   * @returns whether the state of the server changed.
    */
-  observeUnreadable (id: string, offset: number): boolean {
+  markUnreadable (id: string, offset: number): boolean {
     const known = this.servers.get(id)
     if (!known || !this.isNewer(id, offset)) {
       return false
@@ -129,37 +130,37 @@
   }
 
   /**
-   * What the newest incarnation known of the id has stated. Whichever a request was meant
-   * for, that one answers it: those before had ended.
+   * What the newest known incarnation of the id has stated. That incarnation answers
+   * every request to the id, because the earlier ones have ended.
    */
-  newestStated (id: string): StatedState | undefined {
-    return (this.servers.get(id) ?? this.gone.get(id))?.stated
+  newestStatedState (id: string): StatedState | undefined {
+    return (this.servers.get(id) ?? this.removals.get(id))?.stated
   }
 
   /**
-   * A server said in an answer that it leaves.
-   * @returns whether that is news.
+   * A server stated in an answer that it leaves.
+   * @returns whether that was not known yet.
    */
-  observeLeaving (id: string, now: number): boolean {
+  markLeaving (id: string, now: number): boolean {
     const server = this.servers.get(id)
-    const isNews = this.newestStated(id)?.observeLeaving(now) === true
-    if (server && isNews) {
+    const isNew = this.newestStatedState(id)?.observeLeaving(now) === true
+    if (server && isNew) {
       const before = server.listed.state
       server.listed = { ...server.listed, state: ServerState.Draining }
       this.options.onChanged(server.listed, before)
     }
-    return isNews
+    return isNew
   }
 
   /**
-   * A server said itself when it started.
-   * @returns whether it is the incarnation known; a later one takes its place, of an
-   * earlier one nothing counts.
+   * A server stated when it started. A later incarnation replaces the known one; an
+   * earlier incarnation is ignored.
+   * @returns whether it is the known incarnation.
    */
-  observeStart (server: KnownServer, startedAt: number): boolean {
+  recordStart (server: KnownServer, startedAt: number): boolean {
     const { listed, offset } = server
     if (startedAt > listed.startedAt && this.servers.get(listed.id) === server) {
-      const next = this.add({ ...listed, startedAt, state: ServerState.Ready, weights: new Map<string, number>() }, offset)
+      const next = this.addIncarnation({ ...listed, startedAt, state: ServerState.Ready, weights: new Map<string, number>() }, offset)
       if (next.stated.isLeaving) {
         next.listed = { ...next.listed, state: ServerState.Draining }
       }
@@ -169,53 +170,53 @@
   }
 
   private isNewer (id: string, offset: number): boolean {
-    return offset > (this.servers.get(id)?.offset ?? this.gone.get(id)?.offset ?? -1)
+    return offset > (this.servers.get(id)?.offset ?? this.removals.get(id)?.offset ?? -1)
   }
 
-  /** Start of the newest incarnation known of the id. */
-  private startOf (id: string): number {
-    return this.servers.get(id)?.listed.startedAt ?? this.gone.get(id)?.startedAt ?? 0
+  /** Start time of the newest known incarnation of the id; 0 if none is known. */
+  private newestStartOf (id: string): number {
+    return this.servers.get(id)?.listed.startedAt ?? this.removals.get(id)?.startedAt ?? 0
   }
 
-  /** The server of the id if it is this incarnation. */
+  /** The known server of the id, unless the entry is of a later incarnation. */
   private incarnationOf ({ id, startedAt }: ListedServer): KnownServer | undefined {
     const known = this.servers.get(id)
     return known && startedAt > known.listed.startedAt ? undefined : known
   }
 
-  /** What the incarnation has stated already; a later one than was known has stated what was heard since its start. */
-  private statedOf ({ id, startedAt }: ListedServer): StatedState {
-    const stated = this.newestStated(id)
+  /** What the incarnation has stated so far. If it is later than the known one, that is what was stated since its start. */
+  private statedStateOf ({ id, startedAt }: ListedServer): StatedState {
+    const stated = this.newestStatedState(id)
     if (stated === undefined) {
       return StatedState.create()
     }
-    return startedAt > this.startOf(id) ? stated.since(startedAt) : stated
+    return startedAt > this.newestStartOf(id) ? stated.since(startedAt) : stated
   }
 
-  /** Nothing is believed of the incarnation any more; requests on their way there end by themselves. */
-  private end (server: KnownServer): void {
+  /** Removes the incarnation; its requests in flight end by themselves. */
+  private endIncarnation (server: KnownServer): void {
     this.servers.delete(server.listed.id)
     this.byHash.delete(server.hash)
     server.connections.close()
   }
 
-  /** The entry was removed: the server has left, or was silent for too long. */
+  /** The entry was removed because the server has left or was silent for too long. */
   remove (id: string, offset: number): void {
     if (!this.isNewer(id, offset)) {
       return
     }
     const known = this.servers.get(id)
-    const stated = this.newestStated(id) ?? StatedState.create()
-    this.gone.set(id, { offset, startedAt: this.startOf(id), stated })
+    const stated = this.newestStatedState(id) ?? StatedState.create()
+    this.removals.set(id, { offset, startedAt: this.newestStartOf(id), stated })
     if (known) {
       const before = known.listed.state
       known.listed = { ...known.listed, state: ServerState.Gone }
-      this.end(known)
+      this.endIncarnation(known)
       this.options.onChanged(known.listed, before)
     }
   }
 
-  /** A full reading of the list up to the offset: what it does not name is gone. */
+  /** The server list was read completely up to the offset: removes the servers that it does not contain. */
   retain (ids: ReadonlySet<string>, end: number): void {
     for (const [id, { offset }] of this.servers) {
       if (!ids.has(id) && offset < end) {
@@ -228,13 +229,13 @@
     return this.servers.get(id)
   }
 
-  /** By the hash of its incarnation, as other instances name it. */
-  ofHash (hash: number): KnownServer | undefined {
+  /** By the hash of its incarnation, by which other instances identify it. */
+  getByHash (hash: number): KnownServer | undefined {
     return this.byHash.get(hash)
   }
 
-  /** Whether the configuration has the service: an entry from another writer may name any. */
-  isServed (service: string): boolean {
+  /** Whether the configuration has the service. An entry from another writer may name any service. */
+  hasService (service: string): boolean {
     return this.routing?.services.has(service) === true
   }
 
@@ -247,37 +248,37 @@
     return this.all().filter(({ listed }) => listed.service === service && listed.state === ServerState.Ready)
   }
 
-  /** Weights only rise within one incarnation of a server. */
-  observeWeights (server: KnownServer, model: string, version: number): void {
+  /** Records a weights version; within one incarnation of a server versions only increase. */
+  recordWeights (server: KnownServer, model: string, version: number): void {
     if (version > (server.weights.get(model) ?? -1)) {
       server.weights.set(model, version)
-      endChange(server, model, version)
+      endWeightsChange(server, model, version)
     }
   }
 
-  /** What this instance has seen enough of to tell it. */
-  speedsToTell (): SpeedNews[] {
-    return [...this.experience.prefillSpeeds].flatMap(([service, { tokensPerMs, samples }]) =>
-      samples >= SETTLED_SAMPLES && this.isServed(service) ? [{ service, tokensPerMs, samples }] : [])
+  /** Prompt speeds for which this instance has enough samples to announce them. */
+  speedsToAnnounce (): SpeedNews[] {
+    return [...this.observations.prefillSpeeds].flatMap(([service, { tokensPerMs, samples }]) =>
+      samples >= SETTLED_SAMPLES && this.hasService(service) ? [{ service, tokensPerMs, samples }] : [])
   }
 
   /** Memory of an engine of the service, in tokens; 0 where unknown. */
-  memoryOf (service: string): number {
+  memoryTokensOf (service: string): number {
     return this.routing?.services.get(service)?.engine?.cacheTokens ?? 0
   }
 
-  /** Adds an incarnation; the former one ends. */
-  private add (listed: ListedServer, offset: number): KnownServer {
-    const stated = this.statedOf(listed)
+  /** Adds an incarnation and removes the previous one. */
+  private addIncarnation (listed: ListedServer, offset: number): KnownServer {
+    const stated = this.statedStateOf(listed)
     const former = this.servers.get(listed.id)
     if (former) {
-      this.end(former)
+      this.endIncarnation(former)
     }
     const connections = ServerConnections.create({
       address: listed.address,
       now: this.now,
       part: this.connectionPart(listed.service),
-      mayLeave: () => reachableFrom(server) <= this.now(),
+      maySend: () => reachableFrom(server) <= this.now(),
       onAnswer: (status, headers, sentAt) => this.options.onAnswer?.(server, status, headers, sentAt)
     })
     const server = createKnownServer(listed, offset, stated, connections)
@@ -287,8 +288,8 @@
   }
 }
 
-/** News of an earlier change may come after the word that the next one has begun; it does not end that. */
-function endChange (server: KnownServer, model: string, version: number): void {
+/** Marks a weights change as finished. A late message about an earlier change does not end the current one. */
+function endWeightsChange (server: KnownServer, model: string, version: number): void {
   const { changingTo } = server
   if (changingTo === undefined || changingTo.model !== model || version >= changingTo.version) {
     server.changingUntil = 0
--- a/packages/foxtaillever-relay/src/telemetry/relayState.ts
+++ b/packages/foxtaillever-relay/src/telemetry/relayState.ts
@@ -10,7 +10,7 @@
 import type { Peers } from '../peers/peers.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
-import { opensAt } from '../servers/serverOpening.js'
+import { availableFrom } from '../servers/serverAvailability.js'
 import type { OrderLease } from '../weights/orderLease.js'
 
 export interface RelayStateOptions {
@@ -66,14 +66,14 @@
       store: { answers: knowledge().hasStore, era: knowledge().storeEra, positions: { operators: formatPosition(operators), servers: formatPosition(read) } },
       lease: { isHeld: lease().fence() !== undefined, ...lease().news() },
       servers: directory.all().map(server => this.describe(server, now)),
-      reading: Object.fromEntries([...directory.experience.prefillSpeeds].map(([service, { tokensPerMs, samples }]) => [service, { tokensPerMs, samples }])),
+      reading: Object.fromEntries([...directory.observations.prefillSpeeds].map(([service, { tokensPerMs, samples }]) => [service, { tokensPerMs, samples }])),
       instances: peers().table.all().map(({ address, last, heardAt }) => ({ address, name: last?.name, failureDomain: last?.failureDomain, heardMsAgo: now - heardAt }))
     }
   }
 
   private describe (server: KnownServer, now: number): object {
     const { listed, weights, outstanding, health, changingUntil, offset } = server
-    const opensInMs = opensAt(server) - now
+    const opensInMs = availableFrom(server) - now
     return {
       ...listed,
       weights: Object.fromEntries(weights),
@@ -93,7 +93,7 @@
     metrics.gauge('configuration_revision', () => routing()?.revision ?? -1)
     metrics.gauge('known_servers', () => directory.all().length)
     metrics.gauge('known_instances', () => peers().count())
-    metrics.gauge('prefill_tokens_per_ms', () => Math.round([...directory.experience.prefillSpeeds.values()].at(0)?.tokensPerMs ?? 0))
+    metrics.gauge('prefill_tokens_per_ms', () => Math.round([...directory.observations.prefillSpeeds.values()].at(0)?.tokensPerMs ?? 0))
     metrics.gauge('store_answers', () => Number(knowledge().hasStore))
     metrics.gauge('store_era', () => knowledge().storeEra)
     metrics.gauge('lease_held', () => Number(lease().fence() !== undefined))
--- a/packages/foxtaillever-relay/src/weights/__fixtures__/orderingFleet.ts
+++ b/packages/foxtaillever-relay/src/weights/__fixtures__/orderingFleet.ts
@@ -119,7 +119,7 @@
 
   /** The list has an entry of an engine. */
   list (id: string, startedAt: number, version: number, offset: number): void {
-    this.directory.observe({
+    this.directory.applyEntry({
       id, startedAt, service: 'engines', address: '127.0.0.1:1', failureDomain: 'a', slots: 48, state: ServerState.Ready, coldLeftMs: 0, weights: new Map([[MODEL, version]])
     }, offset)
   }
--- a/packages/foxtaillever-relay/src/weights/__tests__/refusals.test.ts
+++ b/packages/foxtaillever-relay/src/weights/__tests__/refusals.test.ts
@@ -39,7 +39,7 @@
 
   it('hears of it with the beats of any other', t => {
     const [instance, other] = [instanceKnowing(2), instanceKnowing(2)]
-    other.directory.observeWeights(engineOf(other), MODEL, 2)
+    other.directory.recordWeights(engineOf(other), MODEL, 2)
     t.deepEqual(other.desk.current(), [{ model: MODEL, version: 2, engines: [engineOf(other).hash] }])
     other.desk.current().forEach(news => instance.desk.observeCurrent(news))
     t.is(versionAt(instance), 2)
--- a/packages/foxtaillever-relay/src/weights/__tests__/told.test.ts
+++ b/packages/foxtaillever-relay/src/weights/__tests__/told.test.ts
@@ -20,9 +20,9 @@
 
   it('keeps work away until it has the weights that were told', t => {
     instance.desk.observe({ server: engine.hash, model: MODEL, version: 3, changingMs: 2500 })
-    instance.directory.observeWeights(engine, MODEL, 2)
+    instance.directory.recordWeights(engine, MODEL, 2)
     t.true(isSteered(instance))
-    instance.directory.observeWeights(engine, MODEL, 3)
+    instance.directory.recordWeights(engine, MODEL, 3)
     t.false(isSteered(instance))
   })
 
--- a/packages/foxtaillever-relay/src/weights/engineChange.ts
+++ b/packages/foxtaillever-relay/src/weights/engineChange.ts
@@ -8,7 +8,7 @@
 import type { Clock } from 'foxtaillever-core'
 import { LEAST_STEERED_MS, RolloutPhase } from 'foxtaillever-policy/relay/planRollout'
 import type { KnownServer } from '../servers/knownServer.js'
-import { reachableFrom } from '../servers/serverOpening.js'
+import { reachableFrom } from '../servers/serverAvailability.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import { OrderAnswer, type EngineOrders, type EngineReport } from './engineOrders.js'
 
--- a/packages/foxtaillever-relay/src/weights/orderOffice.ts
+++ b/packages/foxtaillever-relay/src/weights/orderOffice.ts
@@ -40,7 +40,7 @@
     log,
     rank: () => isFit() ? orderRank(name, fitPeers(peers).map(peer => peer.name), lease.lastHolder) : LAST_RANK,
     outstandingAt: ({ outstanding, hash }) => outstanding + peers.use.of(hash).outstanding,
-    waitMsAt: ({ unreadTokens, hash, listed }) => (unreadTokens + peers.use.of(hash).tokens) / directory.experience.prefillSpeedOf(listed.service).tokensPerMs,
+    waitMsAt: ({ unreadTokens, hash, listed }) => (unreadTokens + peers.use.of(hash).tokens) / directory.observations.prefillSpeedOf(listed.service).tokensPerMs,
     tell: news => peers.tellWeights(news)
   })
   return { lease, desk }
--- a/packages/foxtaillever-relay/src/weights/weightsDesk.ts
+++ b/packages/foxtaillever-relay/src/weights/weightsDesk.ts
@@ -82,9 +82,9 @@
     const { clock, directory } = this.options
     const now = clock.now()
     this.progressAt = now
-    const engine = directory.ofHash(server)
+    const engine = directory.getByHash(server)
     if (engine && changingMs === 0) {
-      directory.observeWeights(engine, model, version)
+      directory.recordWeights(engine, model, version)
     } else if (engine && (engine.weights.get(model) ?? 0) < version) {
       engine.changingUntil = now + changingMs
       engine.changingTo = { model, version }
@@ -99,7 +99,7 @@
   observeRefusal (server: KnownServer, model: string | undefined, expected: number | undefined): void {
     const next = model === undefined || expected === undefined ? undefined : this.named.next(model, expected)
     if (model !== undefined && next !== undefined) {
-      this.options.directory.observeWeights(server, model, next.version)
+      this.options.directory.recordWeights(server, model, next.version)
     }
     this.run()
   }
@@ -119,7 +119,7 @@
     const hashes = new Set(engines)
     this.enginesOf(model)
       .filter(engine => (engine.weights.get(model) ?? 0) < version && hashes.has(engine.hash))
-      .forEach(engine => this.options.directory.observeWeights(engine, model, version))
+      .forEach(engine => this.options.directory.recordWeights(engine, model, version))
   }
 
   /** For good: what is learned during a shutdown starts nothing, and another may give the orders. */
@@ -159,7 +159,7 @@
   private enginesOf (model: string): KnownServer[] {
     const { clock, directory } = this.options
     const now = clock.now()
-    return directory.all().filter(({ listed, weights, displacedUntil }) => listed.state === ServerState.Ready && displacedUntil <= now && weights.has(model) && directory.isServed(listed.service))
+    return directory.all().filter(({ listed, weights, displacedUntil }) => listed.state === ServerState.Ready && displacedUntil <= now && weights.has(model) && directory.hasService(listed.service))
   }
 
   private wanted (model: string): number {
@@ -254,8 +254,8 @@
         log,
         onWeights,
         onFenced: () => lease.drop(),
-        onDisplaced: () => directory.experience.observeDisplaced(engine, clock.now()),
-        isSameStart: startedAt => directory.observeStart(engine, startedAt)
+        onDisplaced: () => directory.observations.recordDisplaced(engine, clock.now()),
+        isSameStart: startedAt => directory.recordStart(engine, startedAt)
       }))
     }
   }
@@ -284,7 +284,7 @@
     const { directory, clock } = this.options
     const { id } = engine.listed
     const isNews = version > (engine.weights.get(model) ?? -1)
-    directory.observeWeights(engine, model, version)
+    directory.recordWeights(engine, model, version)
     if (isNews || this.hasWanted(engine, model)) {
       this.progressAt = clock.now()
       this.untold.set(id, { server: engine.hash, model, version, changingMs: 0 })
--- a/packages/foxtaillever-router/src/plain/createPlainDesk.ts
+++ b/packages/foxtaillever-router/src/plain/createPlainDesk.ts
@@ -55,7 +55,7 @@
     suspects: noSuspicions,
     // The router's own limits have let the call pass.
     quota: noQuotas,
-    use: { of: () => noLoad },
+    fleetLoad: { of: () => noLoad },
     ...withoutStores,
     onLoadChanged: () => {},
     onSaved: () => {},
--- a/packages/foxtaillever-router/src/plain/plainServers.ts
+++ b/packages/foxtaillever-router/src/plain/plainServers.ts
@@ -37,7 +37,7 @@
   private update (): void {
     const listed = listServers(this.configuration, this.leaving)
     this.version += 1
-    listed.forEach(server => this.directory.observe(server, this.version))
+    listed.forEach(server => this.directory.applyEntry(server, this.version))
     this.directory.retain(new Set(listed.map(({ id }) => id)), this.version + 1)
   }
 }
