--- a/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
@@ -10,7 +10,7 @@
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { RelayRig, serverWire } from '../__fixtures__/relayRig.js'
 import type { Arrival } from '../__fixtures__/scriptedServer.js'
-import { withoutStores } from '../cache/cacheUse.js'
+import { noCacheStores } from '../cache/cacheStoreTracker.js'
 import { CrashSuspects } from '../exchange/crashSuspects.js'
 import { ExchangeDesk } from '../exchange/exchangeDesk.js'
 import { ServerState } from '../model/listedServer.js'
@@ -25,7 +25,7 @@
 function createDesk (clock: VirtualClock, told: string[]): ExchangeDesk {
   const destination = new PassThrough().on('data', line => { told.push(String(line)) })
   return ExchangeDesk.create({
-    ...withoutStores,
+    ...noCacheStores,
     clock,
     random: SeededRandom.create(1),
     failureDomain: 'd',
--- a/packages/foxtaillever-relay/src/attempts/planTerms.ts
+++ b/packages/foxtaillever-relay/src/attempts/planTerms.ts
@@ -108,7 +108,7 @@
   }
   const level = savedLevelOf(exchange, prompt, weightsVersion, store)
   const isFar = store.failureDomain !== server.listed.failureDomain
-  const link = { tokensOnTheWay: fetchLoad.tokensAt(store.address, now), tokensPerMs: store.linkBytesPerMs / tokenBytes }
+  const link = { tokensOnTheWay: fetchLoad.tokensInTransit(store.address, now), tokensPerMs: store.linkBytesPerMs / tokenBytes }
   const isFetched = mayFetch(link)
   // What was saved is found at the server or fetched; what comes after it is read in any case.
   const isFound = isFetched && savedLevels.has(level, now)
--- a/packages/foxtaillever-relay/src/cache/cacheUse.ts
+++ b/packages/foxtaillever-relay/src/cache/cacheStoreTracker.ts
@@ -1,4 +1,4 @@
-/** What an instance knows of the stores of cached levels: what they hold, whether they answer, and how busy their links are. */
+/** Tracks the stores of cached levels: which levels they hold, whether they answer, and how busy their links are. */
 import type { Clock } from 'foxtaillever-core'
 import { SavedLevels } from 'foxtaillever-policy/relay/savedLevels'
 import { StoreReach, type StoreWord } from 'foxtaillever-policy/relay/storeReach'
@@ -6,56 +6,56 @@
 import type { ServerUse } from '../peers/peerMessage.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import { FetchLoad } from './fetchLoad.js'
-import { StoreWatch, type CacheStoreCalls } from './storeWatch.js'
+import { StoreMonitor, type CacheStoreCalls } from './storeMonitor.js'
 
-/** What it tells the others. */
-export interface CacheWord {
+/** What an instance reports about the stores to the other instances. */
+export interface CacheReport {
   readonly savedLevels: readonly number[]
   readonly stores: readonly StoreWord[]
 }
 
-export interface CacheUseOptions {
+export interface CacheStoreTrackerOptions {
   readonly clock: Clock
   readonly cacheStoreCalls: CacheStoreCalls
   readonly log: RelayLog
-  /** Those of the configuration in force. */
+  /** The stores of the configuration in force. */
   readonly stores: () => readonly CacheStore[]
-  /** Where the others know this instance. */
+  /** The address by which other instances know this one. */
   readonly ownAddress: () => string
-  /** Addresses of the instances that look at a store, by the hash of its address. */
+  /** Addresses of the instances that poll a store, by the hash of its address. */
   readonly watchersOf: (store: number) => readonly string[]
-  /** Tokens that the other instances have on their way from the store at the address. */
+  /** Tokens in transit for other instances from the store at the address. */
   readonly othersTokens: (store: string) => number
-  /** A store came back empty: what was saved there is saved no more. */
+  /** A store restarted empty: the levels saved there are lost. */
   readonly onStoreRestarted: () => void
-  /** The others are to hear of it now. */
-  readonly tellAll: () => void
+  /** Sends a report to the other instances now. */
+  readonly announceNow: () => void
 }
 
 /** For a deployment that has no store of cached levels. */
-export const withoutStores: Omit<CacheUseOptions, 'clock' | 'log' | 'stores'> = {
-  cacheStoreCalls: { look: async () => { throw new Error('There is no store of cached levels to look at.') } },
+export const noCacheStores: Omit<CacheStoreTrackerOptions, 'clock' | 'log' | 'stores'> = {
+  cacheStoreCalls: { poll: async () => { throw new Error('There is no store of cached levels to poll.') } },
   ownAddress: () => '',
   watchersOf: () => [''],
   othersTokens: () => 0,
   onStoreRestarted: () => {},
-  tellAll: () => {}
+  announceNow: () => {}
 }
 
-export class CacheUse {
+export class CacheStoreTracker {
   readonly savedLevels = SavedLevels.create()
   readonly fetchLoad: FetchLoad
-  readonly watch: StoreWatch
+  readonly monitor: StoreMonitor
   private readonly reach = StoreReach.create()
 
-  private constructor (private readonly options: CacheUseOptions) {
+  private constructor (private readonly options: CacheStoreTrackerOptions) {
     const { clock, cacheStoreCalls: calls, othersTokens } = options
     this.fetchLoad = FetchLoad.create(othersTokens)
-    this.watch = StoreWatch.create({ clock, calls, stores: () => this.watched(), onChanged: word => this.onChanged(word) })
+    this.monitor = StoreMonitor.create({ clock, calls, stores: () => this.watchedStores(), onChanged: report => this.handleChange(report) })
   }
 
-  static create (options: CacheUseOptions): CacheUse {
-    return new CacheUse(options)
+  static create (options: CacheStoreTrackerOptions): CacheStoreTracker {
+    return new CacheStoreTracker(options)
   }
 
   /** Stores that answer. */
@@ -64,18 +64,19 @@
     return this.options.stores().filter(({ address }) => this.reach.answers(address, now))
   }
 
-  uses (): ServerUse[] {
-    return this.fetchLoad.own(this.options.clock.now())
+  /** The load of this instance on the links of the stores. */
+  fetchLoads (): ServerUse[] {
+    return this.fetchLoad.ownLoads(this.options.clock.now())
   }
 
-  word (): CacheWord {
+  createReport (): CacheReport {
     const { ownAddress, clock } = this.options
-    const stores = this.watch.words()
+    const stores = this.monitor.reports()
     this.reach.hear(ownAddress(), stores, clock.now())
     return { savedLevels: this.savedLevels.tell(), stores }
   }
 
-  hear (instance: string, { savedLevels, stores }: CacheWord): void {
+  applyReport (instance: string, { savedLevels, stores }: CacheReport): void {
     const now = this.options.clock.now()
     if (this.reach.hear(instance, stores, now)) {
       this.savedLevels.forget()
@@ -84,18 +85,18 @@
     this.savedLevels.hear(savedLevels, now)
   }
 
-  /** Two instances look at each store, since one may be cut off itself. */
-  private watched (): CacheStore[] {
+  /** Stores that this instance polls. Two instances poll each store, because one of them may be disconnected itself. */
+  private watchedStores (): CacheStore[] {
     const { stores, ownAddress, watchersOf } = this.options
     const own = ownAddress()
     return stores().filter(({ hash }) => watchersOf(hash).includes(own))
   }
 
-  private onChanged (word: StoreWord): void {
-    const { ownAddress, log, tellAll } = this.options
-    const { store, isSilent, incarnation } = word
+  private handleChange (report: StoreWord): void {
+    const { ownAddress, log, announceNow } = this.options
+    const { store, isSilent, incarnation } = report
     log.belief(isSilent ? 'A store of cached levels does not answer.' : 'A store of cached levels answers.', { store, incarnation })
-    this.hear(ownAddress(), { savedLevels: [], stores: [word] })
-    tellAll()
+    this.applyReport(ownAddress(), { savedLevels: [], stores: [report] })
+    announceNow()
   }
 }
--- a/packages/foxtaillever-relay/src/cache/levelSupply.ts
+++ b/packages/foxtaillever-relay/src/cache/estimateLevelFetch.ts
@@ -1,27 +1,27 @@
-/** How the shared levels of a prompt would come to an engine: found, fetched from their store, or read. */
+/** Estimates how an engine would get the shared levels of a prompt: already cached, fetched from their store, or computed. */
 import { homeOf } from 'foxtaillever-policy/relay/levelHome'
 import { deepestSharedTokensOf, ownTokensOf, promptKeyOf, savedLevelOf } from '../attempts/planTerms.js'
 import type { Exchange } from '../model/exchange.js'
 import type { Routing } from '../model/routing.js'
 import type { KnownServer } from '../servers/knownServer.js'
-import type { CacheUse } from './cacheUse.js'
+import type { CacheStoreTracker } from './cacheStoreTracker.js'
 
-export interface LevelSupply {
-  /** Until an engine has the deepest shared level that another has read, milliseconds: moved from a store within a failure domain, read without one. */
+export interface LevelFetchEstimate {
+  /** Time until an engine has the deepest shared level that another engine has computed, milliseconds: the transfer from a store within a failure domain, or the computation if there is no store. */
   readonly fetchMs: number
-  /** How long a fetch waits for the store's link, milliseconds. */
+  /** How long a fetch waits for the link of the store, milliseconds. */
   readonly waitMs: number
-  /** Tokens of the prompt that the engine would have to read. */
+  /** Tokens of the prompt that the engine would have to compute. */
   readonly missingTokens: (server: Pick<KnownServer, 'weights'>) => number
 }
 
-const nothing: LevelSupply = { fetchMs: 0, waitMs: 0, missingTokens: () => 0 }
+const noFetch: LevelFetchEstimate = { fetchMs: 0, waitMs: 0, missingTokens: () => 0 }
 
-export function levelSupplyOf (exchange: Exchange, { services }: Routing, caches: Pick<CacheUse, 'available' | 'fetchLoad' | 'savedLevels'>, now: number, tokensPerMs: number): LevelSupply {
+export function estimateLevelFetch (exchange: Exchange, { services }: Routing, caches: Pick<CacheStoreTracker, 'available' | 'fetchLoad' | 'savedLevels'>, now: number, tokensPerMs: number): LevelFetchEstimate {
   const { prompt, service } = exchange
   const key = promptKeyOf(exchange)
   if (prompt === undefined || key === undefined) {
-    return nothing
+    return noFetch
   }
   const store = homeOf(key, caches.available())
   const tokenBytes = services.get(service)?.engine?.tokenBytes
@@ -29,25 +29,25 @@
     const ownTokens = ownTokensOf(prompt)
     return { fetchMs: (prompt.promptTokens - ownTokens) / tokensPerMs, waitMs: 0, missingTokens: () => ownTokens }
   }
-  // Most servers have the same weights.
-  const missing = new Map<number, number>()
-  const missingOn = (version: number): number => {
-    const known = missing.get(version)
+  // Computed once for each weights version, since most servers have the same one.
+  const missingByVersion = new Map<number, number>()
+  const missingTokensOf = (version: number): number => {
+    const known = missingByVersion.get(version)
     if (known !== undefined) {
       return known
     }
     const isSaved = caches.savedLevels.has(savedLevelOf(exchange, prompt, version, store), now)
     const tokens = isSaved ? ownTokensOf(prompt) : prompt.promptTokens
-    missing.set(version, tokens)
+    missingByVersion.set(version, tokens)
     return tokens
   }
   const msOf = (tokens: number): number => tokens * tokenBytes / store.linkBytesPerMs
   return {
     fetchMs: msOf(deepestSharedTokensOf(prompt)),
-    waitMs: msOf(caches.fetchLoad.tokensAt(store.address, now)),
+    waitMs: msOf(caches.fetchLoad.tokensInTransit(store.address, now)),
     missingTokens: ({ weights }) => {
       const version = weights.get(prompt.model)
-      return version === undefined ? prompt.promptTokens : missingOn(version)
+      return version === undefined ? prompt.promptTokens : missingTokensOf(version)
     }
   }
 }
--- a/packages/foxtaillever-relay/src/cache/fetchLoad.ts
+++ b/packages/foxtaillever-relay/src/cache/fetchLoad.ts
@@ -1,8 +1,9 @@
 /**
- * Prompt tokens on their way from the stores of cached levels: those that this
- * instance asked engines to fetch, and those that the others told. All engines
- * share a store's one link, so the sum says how long the next fetch waits. Saves
- * are not counted: a level that is not saved is read again by all who ask for it.
+ * Prompt tokens in transit from the stores of cached levels: those that this instance
+ * asked engines to fetch, and those that other instances reported. All engines share
+ * the single link of a store, so the sum determines how long the next fetch waits.
+ * Saves are not counted: a level that is not saved is computed again for every request
+ * that needs it.
  */
 import { hashNumber } from 'foxtaillever-core'
 import type { ServerUse } from '../peers/peerMessage.js'
@@ -10,7 +11,7 @@
 export interface Transfer {
   /** Address of the store. */
   readonly store: string
-  /** As the link of the store feels them. */
+  /** Tokens weighted by how long they occupy the link of the store; see `linkTokens`. */
   readonly tokens: number
   /** Counted until then, milliseconds of Unix time. */
   readonly until: number
@@ -21,28 +22,28 @@
 
   private constructor (private readonly othersTokens: (store: string) => number) {}
 
-  /** @param othersTokens tokens that the other instances have on their way from the store at the address. */
+  /** @param othersTokens tokens in transit for other instances from the store at the address. */
   static create (othersTokens: (store: string) => number): FetchLoad {
     return new FetchLoad(othersTokens)
   }
 
-  /** What this instance tells the others. */
-  own (now: number): ServerUse[] {
+  /** The load of this instance on each store, as reported to the other instances. */
+  ownLoads (now: number): ServerUse[] {
     this.expire(now)
     const sums = new Map<string, number>()
     this.transfers.forEach(({ store, tokens }) => sums.set(store, (sums.get(store) ?? 0) + tokens))
     return [...sums].map(([store, tokens]) => ({ server: hashNumber(store), outstanding: 1, tokens, heldTokens: 0 }))
   }
 
-  tokensAt (store: string, now: number): number {
+  tokensInTransit (store: string, now: number): number {
     this.expire(now)
     let sum = this.othersTokens(store)
     this.transfers.forEach(transfer => { sum += transfer.store === store ? transfer.tokens : 0 })
     return sum
   }
 
-  /** @param until when it must be through, milliseconds of Unix time. */
-  begin (store: string, tokens: number, until: number): Transfer | undefined {
+  /** @param until when the transfer must be complete, milliseconds of Unix time. */
+  beginTransfer (store: string, tokens: number, until: number): Transfer | undefined {
     if (tokens <= 0) {
       return undefined
     }
@@ -51,7 +52,7 @@
     return transfer
   }
 
-  end (transfer: Transfer | undefined): void {
+  endTransfer (transfer: Transfer | undefined): void {
     if (transfer) {
       this.transfers.delete(transfer)
     }
--- a/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
@@ -2,7 +2,7 @@
 import type { Clock, Random } from 'foxtaillever-core'
 import type { RetryShare } from 'foxtaillever-policy/relay/retryShare'
 import type { AttemptFailure } from '../attempts/attemptFailure.js'
-import type { CacheUse } from '../cache/cacheUse.js'
+import type { CacheStoreTracker } from '../cache/cacheStoreTracker.js'
 import type { Exchange } from '../model/exchange.js'
 import type { LevelAtHome } from '../peers/loadQuestions.js'
 import type { Routing } from '../model/routing.js'
@@ -27,7 +27,7 @@
   readonly wire: ServerWire
   readonly directory: ServerDirectory
   readonly retries: RetryShare
-  readonly caches: Pick<CacheUse, 'savedLevels' | 'fetchLoad' | 'available'>
+  readonly caches: Pick<CacheStoreTracker, 'savedLevels' | 'fetchLoad' | 'available'>
   readonly suspects: Suspicions
   readonly quota: Pick<AccountQuotas, 'admit' | 'giveBack'>
   readonly limits: Pick<ServerLimits, 'admit' | 'giveBack'>
--- a/packages/foxtaillever-relay/src/exchange/exchangeDesk.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDesk.ts
@@ -6,8 +6,8 @@
  */
 import type { Clock, Random } from 'foxtaillever-core'
 import { RetryShare, type RetryAllowance } from 'foxtaillever-policy/relay/retryShare'
-import { CacheUse, type CacheUseOptions } from '../cache/cacheUse.js'
-import { levelSupplyOf } from '../cache/levelSupply.js'
+import { CacheStoreTracker, type CacheStoreTrackerOptions } from '../cache/cacheStoreTracker.js'
+import { estimateLevelFetch } from '../cache/estimateLevelFetch.js'
 import { savedLevelAt } from '../attempts/planTerms.js'
 import type { Exchange } from '../model/exchange.js'
 import type { ListedServer } from '../model/listedServer.js'
@@ -27,7 +27,7 @@
 /** Whoever is about to send a prompt asks its watchers again; their word serves this one choice, milliseconds. */
 const HEARD_MS = 50
 
-export interface ExchangeDeskOptions extends Pick<ServerSelectorOptions, 'failureDomain' | 'fleetLoad' | 'weights' | 'weightsBoundMs'>, Pick<ExchangeContext, 'connectTimeoutMs' | 'suspects' | 'quota' | 'onMisdirected' | 'onLoadChanged' | 'onSaved' | 'onUnreachable'>, Omit<CacheUseOptions, 'stores'> {
+export interface ExchangeDeskOptions extends Pick<ServerSelectorOptions, 'failureDomain' | 'fleetLoad' | 'weights' | 'weightsBoundMs'>, Pick<ExchangeContext, 'connectTimeoutMs' | 'suspects' | 'quota' | 'onMisdirected' | 'onLoadChanged' | 'onSaved' | 'onUnreachable'>, Omit<CacheStoreTrackerOptions, 'stores'> {
   readonly clock: Clock
   readonly random: Random
   readonly wire: ServerWire
@@ -50,7 +50,7 @@
 export class ExchangeDesk {
   readonly directory: ServerDirectory
   readonly retries: RetryShare
-  readonly caches: CacheUse
+  readonly caches: CacheStoreTracker
   readonly runs: ExchangeRuns
   readonly limits: ServerLimits
   private readonly statements: ServerStatementHandler
@@ -64,7 +64,7 @@
     this.clock = clock
     this.log = log
     this.retries = RetryShare.create(options.retryAllowance, clock.now())
-    this.caches = CacheUse.create({ ...options, stores: () => options.routing()?.cacheStores ?? [] })
+    this.caches = CacheStoreTracker.create({ ...options, stores: () => options.routing()?.cacheStores ?? [] })
     this.directory = ServerDirectory.create({
       now: () => clock.now(),
       onAnswer: (server, status, headers, sentAt) => this.statements.applyStatement(server, wire.readStatement(status, headers), sentAt),
@@ -81,7 +81,7 @@
       ...options,
       directory: this.directory,
       stores: () => this.caches.available(),
-      levelSupply: exchange => levelSupplyOf(exchange, knownRouting(options.routing()), this.caches, clock.now(), this.directory.observations.prefillSpeedOf(exchange.service).tokensPerMs)
+      estimateLevelFetch: exchange => estimateLevelFetch(exchange, knownRouting(options.routing()), this.caches, clock.now(), this.directory.observations.prefillSpeedOf(exchange.service).tokensPerMs)
     })
     this.runs = ExchangeRuns.create({
       clock,
--- a/packages/foxtaillever-relay/src/exchange/openTry.ts
+++ b/packages/foxtaillever-relay/src/exchange/openTry.ts
@@ -42,7 +42,7 @@
     server.unreadTokens += this.unreadTokens
     this.tokensToRead = server.unreadTokens + options.othersTokens
     server.heldTokens += heldTokens
-    this.fetch = options.context.caches.fetchLoad.begin(terms.fetchFrom, terms.fetchedTokens, terms.fetchUntil)
+    this.fetch = options.context.caches.fetchLoad.beginTransfer(terms.fetchFrom, terms.fetchedTokens, terms.fetchUntil)
     options.context.onLoadChanged()
   }
 
@@ -115,7 +115,7 @@
     this.server.unreadTokens -= this.unreadTokens
     this.unreadTokens = 0
     const { caches, onLoadChanged } = this.options.context
-    caches.fetchLoad.end(this.fetch)
+    caches.fetchLoad.endTransfer(this.fetch)
     this.fetch = undefined
     onLoadChanged()
   }
--- a/packages/foxtaillever-relay/src/index.ts
+++ b/packages/foxtaillever-relay/src/index.ts
@@ -2,7 +2,7 @@
 export { eraOf, MOST_ERA, offsetOf, positionAt } from './knowledge/storePosition.js'
 export * from './relay.js'
 export * from './relayOptions.js'
-export type { CacheStoreCalls, StoreState } from './cache/storeWatch.js'
+export type { CacheStoreCalls, StoreState } from './cache/storeMonitor.js'
 export * from './knowledge/keyedLog.js'
 export * from './model/exchange.js'
 export * from './model/limitStatement.js'
--- a/packages/foxtaillever-relay/src/peers/beatContents.ts
+++ b/packages/foxtaillever-relay/src/peers/beatContents.ts
@@ -29,10 +29,10 @@
     positions: knowledge.positions,
     revision,
     lease: office.lease.news(),
-    uses: caches.uses(),
+    uses: caches.fetchLoads(),
     sums: peers.loads.sums(directory.all().map(({ hash }) => hash)),
     suspects: suspects.toTell(clock.now()),
-    ...caches.word(),
+    ...caches.createReport(),
     named: office.desk.ages(),
     current: office.desk.current(),
     speeds: directory.speedsToAnnounce(),
@@ -45,7 +45,7 @@
   desk.observeInstances(peers.count())
   desk.limits.hear(limits)
   parts.suspects.hear(suspects, clock.now())
-  desk.caches.hear(address, caches)
+  desk.caches.applyReport(address, caches)
   takeWeightsNotice(office, { news: [], lease })
   speeds.forEach(({ service, ...word }) => desk.directory.observations.prefillSpeedOf(service).hear(word))
   named.forEach(news => office.desk.observeNamed(news))
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -92,7 +92,7 @@
     await this.peers.start()
     this.peers.nameAll(seeds)
     this.knowledge.start()
-    this.desk.caches.watch.start()
+    this.desk.caches.monitor.start()
     this.note(this.memberBook.enter())
     await this.callers.listen(callers.host, callers.port)
     await this.readiness.listen(readiness.host, readiness.port)
@@ -127,7 +127,7 @@
     }
     this.desk.runs.abort()
     this.office.desk.stop()
-    this.desk.caches.watch.stop()
+    this.desk.caches.monitor.stop()
     this.knowledge.stop()
     this.readiness.close()
     this.figures.close()
@@ -161,7 +161,7 @@
       onLoadChanged: () => this.peers.loads.noteChange(),
       onUnreachable: ({ hash }) => this.peers.loads.noteUnreachable(hash),
       onRestAsked: ({ hash }) => this.peers.loads.noteResting(hash),
-      tellAll: () => this.peers.send(),
+      announceNow: () => this.peers.send(),
       askLoad: wish => this.peers.loads.ask(wish()),
       onSaved: level => this.peers.loads.noteSaved(level),
       limitProtocol: () => this.limits[LimitScope.Server],
--- a/packages/foxtaillever-relay/src/servers/serverSelector.ts
+++ b/packages/foxtaillever-relay/src/servers/serverSelector.ts
@@ -5,7 +5,7 @@
 import { ownTokensOf, promptKeyOf } from '../attempts/planTerms.js'
 import type { Exchange } from '../model/exchange.js'
 import type { CacheStore } from '../model/routing.js'
-import type { LevelSupply } from '../cache/levelSupply.js'
+import type { LevelFetchEstimate } from '../cache/estimateLevelFetch.js'
 import type { FleetUse } from '../peers/fleetUse.js'
 import type { WeightsDesk } from '../weights/weightsDesk.js'
 import type { KnownServer } from './knownServer.js'
@@ -64,7 +64,7 @@
   readonly stores: () => readonly CacheStore[]
   readonly fleetLoad: Pick<FleetUse, 'of'>
   /** Estimates what it takes to get the levels of a prompt to an engine. */
-  readonly levelSupply: (exchange: Exchange) => LevelSupply
+  readonly estimateLevelFetch: (exchange: Exchange) => LevelFetchEstimate
   readonly weights: Pick<WeightsDesk, 'outdatedSince'>
   /** How long after new weights were named a request may still begin on older ones, milliseconds. */
   readonly weightsBoundMs: number
@@ -128,9 +128,9 @@
    * @param all servers among which the home of the prompt's levels is determined.
    */
   private rankServers (exchange: Exchange, servers: readonly KnownServer[], all: readonly KnownServer[]): readonly ServerOffer[] {
-    const { directory, random, failureDomain, levelSupply } = this.options
-    const supply = levelSupply(exchange)
-    const offers = servers.map(server => this.toOffer(server, exchange, supply))
+    const { directory, random, failureDomain, estimateLevelFetch } = this.options
+    const estimate = estimateLevelFetch(exchange)
+    const offers = servers.map(server => this.toOffer(server, exchange, estimate))
     const { promptTokens, outputTokens } = exchange.prompt ?? { promptTokens: 0, outputTokens: 0 }
     const promptKey = promptKeyOf(exchange)
     const need = {
@@ -139,10 +139,10 @@
       promptTokens,
       sharedTokens: exchange.prompt ? promptTokens - ownTokensOf(exchange.prompt) : 0,
       outputTokens,
-      pace: { tokensPerMs: directory.observations.prefillSpeedOf(exchange.service).tokensPerMs, fetchMs: supply.fetchMs },
+      pace: { tokensPerMs: directory.observations.prefillSpeedOf(exchange.service).tokensPerMs, fetchMs: estimate.fetchMs },
       objectiveMs: exchange.route.objectiveMs,
       workMs: directory.observations.usualTimeOf(exchange.route.name).value ?? DEFAULT_WORK_MS,
-      fetchWaitMs: supply.waitMs,
+      fetchWaitMs: estimate.waitMs,
       failureDomain
     }
     return rankOffers(offers, need, random)
@@ -203,7 +203,7 @@
     return outstanding + this.options.fleetLoad.of(hash).outstanding
   }
 
-  private toOffer (server: KnownServer, exchange: Exchange, supply: LevelSupply): ServerOffer {
+  private toOffer (server: KnownServer, exchange: Exchange, estimate: LevelFetchEstimate): ServerOffer {
     const { clock, directory, fleetLoad } = this.options
     const { listed, unreadTokens, heldTokens, refusedAt, peerBackoffUntil, absentUntil, changingUntil } = server
     const now = clock.now()
@@ -215,7 +215,7 @@
       slots: listed.slots,
       outstanding: this.outstandingAt(server),
       waitingTokens: unreadTokens + others.tokens,
-      missingTokens: supply.missingTokens(server),
+      missingTokens: estimate.missingTokens(server),
       heldTokens: heldTokens + others.heldTokens,
       memoryTokens: directory.memoryTokensOf(listed.service),
       isRefusing: refusedAt + REFUSAL_LASTS_MS > now || peerBackoffUntil > now,
--- a/packages/foxtaillever-relay/src/servers/serverStatementHandler.ts
+++ b/packages/foxtaillever-relay/src/servers/serverStatementHandler.ts
@@ -10,7 +10,7 @@
   readonly clock: Clock
   readonly directory: Pick<ServerDirectory, 'get' | 'markLeaving' | 'newestStatedState'>
   readonly limits: Pick<ServerLimits, 'observe'>
-  /** A server asked for backoff; other instances must know, or it would have to ask them next. */
+  /** A server asked this instance for backoff. Other instances must know, or the server would have to ask them next. */
   readonly onBackoffRequested: (server: KnownServer) => void
   readonly log: Pick<RelayLog, 'saysItLeaves' | 'asksForRest' | 'restUnreadable'>
 }
--- a/packages/foxtaillever-router/src/plain/createPlainDesk.ts
+++ b/packages/foxtaillever-router/src/plain/createPlainDesk.ts
@@ -2,7 +2,7 @@
 import { presetOf, type Clock, type Configuration, type Random } from 'foxtaillever-core'
 import type { RetryAllowance } from 'foxtaillever-policy/relay/retryShare'
 import { noLoad } from 'foxtaillever-policy/relay/serverLoad'
-import { withoutStores } from 'foxtaillever-relay/cache/cacheUse'
+import { noCacheStores } from 'foxtaillever-relay/cache/cacheStoreTracker'
 import { ExchangeDesk } from 'foxtaillever-relay/exchange/exchangeDesk'
 import type { Suspicions } from 'foxtaillever-relay/exchange/exchangeContext'
 import { noQuotas } from 'foxtaillever-relay/limits/accountQuotas'
@@ -56,7 +56,7 @@
     // The router's own limits have let the call pass.
     quota: noQuotas,
     fleetLoad: { of: () => noLoad },
-    ...withoutStores,
+    ...noCacheStores,
     onLoadChanged: () => {},
     onSaved: () => {},
     onUnreachable: () => {},
