--- a/packages/foxtaillever-relay/src/servers/callServer.ts
+++ b/packages/foxtaillever-relay/src/servers/callServer.ts
@@ -11,7 +11,7 @@
 }
 
 /**
- * @param deadline milliseconds of Unix time; the connection is closed if no answer has begun by then.
+ * @param deadline milliseconds of Unix time; the connection is closed then if the answer is not complete.
  * @param chunkTimeoutMs an answer that has begun may continue beyond the deadline while no gap between its chunks is longer than this.
  */
 export async function callServer (connections: ServerConnections, call: ServerCall, clock: Clock, deadline: number, chunkTimeoutMs = 0): Promise<Either<Failure, WholeAnswer>> {
--- a/packages/foxtaillever-relay/src/servers/knownServer.ts
+++ b/packages/foxtaillever-relay/src/servers/knownServer.ts
@@ -18,9 +18,9 @@
 
 export interface KnownServer {
   listed: ListedServer
-  /** Of the incarnation. Instances identify it by this hash, so that a message about the previous incarnation is not applied to this one. */
+  /** Hash of the incarnation, by which instances identify it: a message about the previous incarnation is not applied to this one. */
   readonly hash: number
-  /** Of its id; rendezvous hashing uses it to assign prompt levels to their home servers. */
+  /** Hash of its id, by which rendezvous hashing assigns prompt levels to their home servers. */
   readonly idHash: number
   /** Offset of the record that the entry comes from; a record with a lower offset never replaces it. */
   offset: number
--- a/packages/foxtaillever-relay/src/servers/serverAvailability.ts
+++ b/packages/foxtaillever-relay/src/servers/serverAvailability.ts
@@ -2,12 +2,12 @@
 import { ServerState } from '../model/listedServer.js'
 import type { KnownServer } from './knownServer.js'
 
-/** Nothing may be sent to the server before, neither reports nor orders, milliseconds of Unix time; Infinity for never again. */
+/** When anything may be sent to the server, reports and orders included, milliseconds of Unix time; Infinity for never again. */
 export function reachableFrom ({ listed, stated, displacedUntil }: KnownServer): number {
   return listed.state === ServerState.Ready ? Math.max(displacedUntil, stated.reachableFrom) : Infinity
 }
 
-/** The same for requests of callers, which count against the limit that the server stated and are only a few at first after its backoff. */
+/** When requests of callers may be sent to the server: they also count against the limit that it stated, and only a few are sent at first after its backoff. */
 export function availableFrom (server: KnownServer): number {
   return Math.max(reachableFrom(server), server.stated.opensAt, server.limitedUntil)
 }
