--- a/packages/foxtaillever-proof/src/fuzz.ts
+++ b/packages/foxtaillever-proof/src/fuzz.ts
@@ -67,7 +67,7 @@
   async execute (): Promise<number> {
     let broken = 0
     for (let seed = Number(this.seed); seed < Number(this.seed) + Number(this.runs); seed++) {
-      const complaints = await StatementHistory.run(seed)
+      const complaints = await StatementHistory.play(seed)
       broken += complaints.length
       complaints.forEach(complaint => console.log(`seed ${seed}: ${complaint}`))
     }
--- a/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
+++ b/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
@@ -88,7 +88,7 @@
   }
 
   /** @returns requests that servers got against their statements, and servers that get no work without a reason. */
-  static async run (seed: number): Promise<string[]> {
+  static async play (seed: number): Promise<string[]> {
     const history = new StatementHistory(seed)
     const { clock } = history
     const endsAt = clock.now() + SIMULATED_MS
