--- a/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
@@ -10,7 +10,7 @@
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { RelayRig, serverWire } from '../__fixtures__/relayRig.js'
 import type { Arrival } from '../__fixtures__/scriptedServer.js'
-import { withoutStores } from '../cache/cacheUse.js'
+import { noCacheStores } from '../cache/cacheStoreTracker.js'
 import { CrashSuspects } from '../exchange/crashSuspects.js'
 import { ExchangeDispatcher } from '../exchange/exchangeDispatcher.js'
 import { ServerState } from '../model/listedServer.js'
@@ -25,7 +25,7 @@
 function createDesk (clock: VirtualClock, told: string[]): ExchangeDispatcher {
   const destination = new PassThrough().on('data', line => { told.push(String(line)) })
   return ExchangeDispatcher.create({
-    ...withoutStores,
+    ...noCacheStores,
     clock,
     random: SeededRandom.create(1),
     failureDomain: 'd',
@@ -35,7 +35,7 @@
     retryAllowance: { ratio: 0.2, slack: 10, windowMs: 10_000 },
     suspects: CrashSuspects.create(),
     quota: noQuotas,
-    use: { of: () => noLoad },
+    fleetLoad: { of: () => noLoad },
     weights: { outdatedSince: () => undefined },
     weightsBoundMs: Infinity,
     routing: () => undefined,
@@ -66,7 +66,7 @@
     const clock = VirtualClock.create()
     const told: string[] = []
     const desk = createDesk(clock, told)
-    desk.directory.observe({ id: 'dark', startedAt: 0, service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 8, state: ServerState.Ready, coldLeftMs: 0, weights: new Map() }, 1)
+    desk.directory.applyEntry({ id: 'dark', startedAt: 0, service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 8, state: ServerState.Ready, coldLeftMs: 0, weights: new Map() }, 1)
     const dark = desk.directory.get('dark')
     desk.recordUnreachable(dark?.hash ?? 0)
     desk.recordUnreachable(dark?.hash ?? 0)
--- a/packages/foxtaillever-relay/src/attempts/attempt.ts
+++ b/packages/foxtaillever-relay/src/attempts/attempt.ts
@@ -7,7 +7,7 @@
 import type { Socket } from 'node:net'
 import { atAfterReading, type Cancellation, type Clock } from 'foxtaillever-core'
 import type { AnswerMarks, AnswerWire } from '../model/wire.js'
-import { ClosedServerError, type ServerCall, type ServerConnections } from '../servers/serverConnections.js'
+import { SendNotAllowedError, type ServerCall, type ServerConnections } from '../servers/serverConnections.js'
 import { AttemptFailureKind, type AttemptFailure } from './attemptFailure.js'
 
 /** The checked head of an answer that comes from the server itself. */
@@ -57,7 +57,7 @@
 
   private constructor (private readonly options: AttemptOptions) {
     const { connections, call, clock, connectTimeoutMs, maxIdleMs = Infinity } = options
-    connections.closeRested(maxIdleMs)
+    connections.closeIdleFor(maxIdleMs)
     this.request = connections.send(call, () => this.onFirstByte())
     this.request.on('response', response => this.onResponse(response))
     this.request.on('error', error => this.onError(error))
@@ -125,7 +125,7 @@
     }
     const { code = error.message } = error as NodeJS.ErrnoException
     if (!this.hasSent) {
-      this.fail(error instanceof ClosedServerError ? AttemptFailureKind.Closed : AttemptFailureKind.Unreachable, code)
+      this.fail(error instanceof SendNotAllowedError ? AttemptFailureKind.Closed : AttemptFailureKind.Unreachable, code)
       return
     }
     this.fail(code.startsWith('HPE_') ? AttemptFailureKind.Malformed : AttemptFailureKind.Lost, code)
--- a/packages/foxtaillever-relay/src/attempts/planTerms.ts
+++ b/packages/foxtaillever-relay/src/attempts/planTerms.ts
@@ -109,7 +109,7 @@
   }
   const level = savedLevelOf(exchange, prompt, weightsVersion, store)
   const isCrossDomain = store.failureDomain !== server.listed.failureDomain
-  const link = { tokensOnTheWay: fetchLoad.tokensAt(store.address, now), tokensPerMs: store.linkBytesPerMs / tokenBytes }
+  const link = { tokensOnTheWay: fetchLoad.tokensInTransit(store.address, now), tokensPerMs: store.linkBytesPerMs / tokenBytes }
   const isFetched = mayFetch(link)
   // A saved level is found at the server or fetched; the tokens after it are read in any case.
   const isFound = isFetched && savedLevels.has(level, now)
--- a/packages/foxtaillever-relay/src/exchange/attemptPlacement.ts
+++ b/packages/foxtaillever-relay/src/exchange/attemptPlacement.ts
@@ -8,7 +8,7 @@
 import { LimitAdmission } from '../limits/serverLimits.js'
 import type { Exchange } from '../model/exchange.js'
 import type { KnownServer } from '../servers/knownServer.js'
-import type { AskedServers } from '../servers/serverChoice.js'
+import type { QueriedServers } from '../servers/serverSelector.js'
 import type { AttemptLedger } from './attemptLedger.js'
 import type { ExchangeContext } from './exchangeContext.js'
 import { runAfter } from './runAfter.js'
@@ -52,7 +52,7 @@
     }
   }
 
-  private place (queriedServers: AskedServers | undefined): void {
+  private place (queriedServers: QueriedServers | undefined): void {
     const { context, exchange, ledger } = this.options
     const server = context.place(exchange, ledger, queriedServers)
     if (server) {
@@ -67,7 +67,7 @@
     }
   }
 
-  private onAdmission (server: KnownServer, admission: LimitAdmission, queriedServers: AskedServers | undefined): void {
+  private onAdmission (server: KnownServer, admission: LimitAdmission, queriedServers: QueriedServers | undefined): void {
     const { context, exchange, ledger, isOver, onPlaced } = this.options
     this.countedServer = admission === LimitAdmission.Counted ? server : undefined
     if (isOver()) {
--- a/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
@@ -2,13 +2,13 @@
 import type { Clock, Random } from 'foxtaillever-core'
 import type { RetryShare } from 'foxtaillever-policy/relay/retryShare'
 import type { AttemptFailure } from '../attempts/attemptFailure.js'
-import type { CacheUse } from '../cache/cacheUse.js'
+import type { CacheStoreTracker } from '../cache/cacheStoreTracker.js'
 import type { Exchange } from '../model/exchange.js'
 import type { LevelAtHome } from '../peers/loadQuestions.js'
 import type { Routing } from '../model/routing.js'
 import type { ServerWire } from '../model/wire.js'
 import type { KnownServer } from '../servers/knownServer.js'
-import type { AskedServers, EarlierTries } from '../servers/serverChoice.js'
+import type { QueriedServers, EarlierAttempts } from '../servers/serverSelector.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import type { AccountQuotas } from '../limits/accountQuotas.js'
@@ -27,7 +27,7 @@
   readonly wire: ServerWire
   readonly directory: ServerDirectory
   readonly retries: RetryShare
-  readonly caches: Pick<CacheUse, 'savedLevels' | 'fetchLoad' | 'available'>
+  readonly caches: Pick<CacheStoreTracker, 'savedLevels' | 'fetchLoad' | 'available'>
   readonly suspects: Suspicions
   readonly quota: Pick<AccountQuotas, 'admit' | 'refund'>
   readonly limits: Pick<ServerLimits, 'admit' | 'refund'>
@@ -43,9 +43,9 @@
   /** A connection to a server could not be opened. */
   readonly onUnreachable: (server: KnownServer) => void
   /** Queries the load that other instances put on the candidate servers, and resolves to the servers it queried; undefined where the load is known. Never rejects. */
-  readonly queryLoad: (exchange: Exchange, earlier: EarlierTries) => Promise<AskedServers> | undefined
+  readonly queryLoad: (exchange: Exchange, earlier: EarlierAttempts) => Promise<QueriedServers> | undefined
   /** Chooses the server for the next attempt among those that have not failed it; undefined when there is none. */
-  readonly place: (exchange: Exchange, earlier: EarlierTries, queriedServers: AskedServers | undefined) => KnownServer | undefined
+  readonly place: (exchange: Exchange, earlier: EarlierAttempts, queriedServers: QueriedServers | undefined) => KnownServer | undefined
   /** When a caller may retry while no server of the service takes requests, milliseconds of Unix time; undefined where no server stated it. */
   readonly earliestRetryAt: (service: string) => number | undefined
   /** A server has another id or other weights than expected; the failure may name its id. */
--- a/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
@@ -5,8 +5,8 @@
  */
 import type { Clock, Random } from 'foxtaillever-core'
 import { RetryShare, type RetryAllowance } from 'foxtaillever-policy/relay/retryShare'
-import { CacheUse, type CacheUseOptions } from '../cache/cacheUse.js'
-import { levelSupplyOf } from '../cache/levelSupply.js'
+import { CacheStoreTracker, type CacheStoreTrackerOptions } from '../cache/cacheStoreTracker.js'
+import { estimateLevelFetch } from '../cache/estimateLevelFetch.js'
 import { savedLevelAt } from '../attempts/planTerms.js'
 import type { Exchange } from '../model/exchange.js'
 import type { ListedServer } from '../model/listedServer.js'
@@ -15,10 +15,10 @@
 import type { ServerWire } from '../model/wire.js'
 import type { LevelAtHome, LoadWish } from '../peers/loadQuestions.js'
 import type { KnownServer } from '../servers/knownServer.js'
-import { ServerChoice, type AskedServers, type ServerChoiceOptions } from '../servers/serverChoice.js'
+import { ServerSelector, type QueriedServers, type ServerSelectorOptions } from '../servers/serverSelector.js'
 import { ServerDirectory } from '../servers/serverDirectory.js'
-import { ServiceReturns } from '../servers/serviceReturns.js'
-import { ServerStatements } from '../servers/serverStatements.js'
+import { RetrySchedule } from '../servers/retrySchedule.js'
+import { ServerStatementHandler } from '../servers/serverStatementHandler.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import type { ExchangeContext } from './exchangeContext.js'
 import { ExchangeRuns } from './exchangeRuns.js'
@@ -26,14 +26,14 @@
 /** How long a reported backoff counts, milliseconds: it serves one choice only, because watchers are queried again before each prompt. */
 const BACKOFF_REPORT_VALID_MS = 50
 
-export interface ExchangeDispatcherOptions extends Pick<ServerChoiceOptions, 'failureDomain' | 'use' | 'weights' | 'weightsBoundMs'>, Pick<ExchangeContext, 'connectTimeoutMs' | 'suspects' | 'quota' | 'onMisdirected' | 'onLoadChanged' | 'onSaved' | 'onUnreachable'>, Omit<CacheUseOptions, 'stores'> {
+export interface ExchangeDispatcherOptions extends Pick<ServerSelectorOptions, 'failureDomain' | 'fleetLoad' | 'weights' | 'weightsBoundMs'>, Pick<ExchangeContext, 'connectTimeoutMs' | 'suspects' | 'quota' | 'onMisdirected' | 'onLoadChanged' | 'onSaved' | 'onUnreachable'>, Omit<CacheStoreTrackerOptions, 'stores'> {
   readonly clock: Clock
   readonly random: Random
   readonly wire: ServerWire
   readonly log: RelayLog
   readonly retryAllowance: RetryAllowance
   /** Queries other instances for the load of the candidate servers of a prompt, and resolves to the servers it queried; undefined where the load is known. Never rejects. */
-  readonly queryLoad: (query: () => LoadWish) => Promise<AskedServers> | undefined
+  readonly queryLoad: (query: () => LoadWish) => Promise<QueriedServers> | undefined
   /** The configuration in force; undefined until one is known. */
   readonly routing: () => Routing | undefined
   /** A server asked this instance to back off, with Retry-After. */
@@ -49,10 +49,10 @@
 export class ExchangeDispatcher {
   readonly directory: ServerDirectory
   readonly retries: RetryShare
-  readonly caches: CacheUse
+  readonly caches: CacheStoreTracker
   readonly runs: ExchangeRuns
   readonly limits: ServerLimits
-  private readonly statements: ServerStatements
+  private readonly statements: ServerStatementHandler
 
   private readonly clock: Clock
   private instances = 1
@@ -63,10 +63,10 @@
     this.clock = clock
     this.log = log
     this.retries = RetryShare.create(options.retryAllowance, clock.now())
-    this.caches = CacheUse.create({ ...options, stores: () => options.routing()?.cacheStores ?? [] })
+    this.caches = CacheStoreTracker.create({ ...options, stores: () => options.routing()?.cacheStores ?? [] })
     this.directory = ServerDirectory.create({
       now: () => clock.now(),
-      onAnswer: (server, status, headers, sentAt) => this.statements.observe(server, wire.readStatement(status, headers), sentAt),
+      onAnswer: (server, status, headers, sentAt) => this.statements.applyStatement(server, wire.readStatement(status, headers), sentAt),
       onChanged: (server, before) => {
         const { id, startedAt, service, state } = server
         log.belief('A backend server changed its state.', { server: id, startedAt, service, state, before })
@@ -74,13 +74,13 @@
       }
     })
     this.limits = ServerLimits.create({ clock, log, directory: this.directory, protocol: options.limitProtocol, onUrgent: options.onLimitChanged })
-    this.statements = ServerStatements.create({ clock, log, directory: this.directory, limits: this.limits, onRestAsked: options.onBackoffRequested })
-    const returns = ServiceReturns.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => this.instances })
-    const choice = ServerChoice.create({
+    this.statements = ServerStatementHandler.create({ clock, log, directory: this.directory, limits: this.limits, onBackoffRequested: options.onBackoffRequested })
+    const returns = RetrySchedule.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => this.instances })
+    const choice = ServerSelector.create({
       ...options,
       directory: this.directory,
       stores: () => this.caches.available(),
-      levelSupply: exchange => levelSupplyOf(exchange, requireRouting(options.routing()), this.caches, clock.now(), this.directory.experience.prefillSpeedOf(exchange.service).tokensPerMs)
+      estimateLevelFetch: exchange => estimateLevelFetch(exchange, requireRouting(options.routing()), this.caches, clock.now(), this.directory.observations.prefillSpeedOf(exchange.service).tokensPerMs)
     })
     this.runs = ExchangeRuns.create({
       clock,
@@ -95,13 +95,13 @@
       limits: this.limits,
       log,
       routing: () => requireRouting(options.routing()),
-      othersTokensAt: server => options.use.of(server.hash).tokens,
+      othersTokensAt: server => options.fleetLoad.of(server.hash).tokens,
       onLoadChanged,
       onSaved,
       onUnreachable,
-      queryLoad: (exchange, earlier) => exchange.prompt && queryLoad(() => ({ servers: choice.shortlist(exchange, earlier), level: this.levelAtHome(exchange, choice.homeOf(exchange)) })),
-      earliestRetryAt: service => returns.returnAt(service),
-      place: (exchange, earlier, queriedServers) => choice.place(exchange, earlier, queriedServers),
+      queryLoad: (exchange, earlier) => exchange.prompt && queryLoad(() => ({ servers: choice.shortlist(exchange, earlier), level: this.levelAtHome(exchange, choice.homeServerOf(exchange)) })),
+      earliestRetryAt: service => returns.nextRetryAt(service),
+      place: (exchange, earlier, queriedServers) => choice.selectServer(exchange, earlier, queriedServers),
       onMisdirected
     })
   }
@@ -114,7 +114,7 @@
   setInstanceCount (count: number): void {
     this.instances = count
     this.retries.observeInstances(count)
-    this.directory.observeInstances(count)
+    this.directory.setInstanceCount(count)
   }
 
   private levelAtHome (exchange: Exchange, home: KnownServer | undefined): LevelAtHome | undefined {
@@ -124,21 +124,21 @@
 
   /** Records that a server, given by its hash, asked other instances to back off. */
   recordBackoff (hash: number): void {
-    const server = this.directory.ofHash(hash)
+    const server = this.directory.getByHash(hash)
     if (server) {
-      server.restingForOthersUntil = this.clock.now() + BACKOFF_REPORT_VALID_MS
+      server.peerBackoffUntil = this.clock.now() + BACKOFF_REPORT_VALID_MS
     }
   }
 
   /** Records that several instances could not reach a server, given by its hash. */
   recordUnreachable (hash: number): void {
-    const server = this.directory.ofHash(hash)
+    const server = this.directory.getByHash(hash)
     const now = this.clock.now()
     if (server && server.absentUntil <= now) {
       this.log.belief('Other instances could not reach a backend server; it is passed over for a moment.', { server: server.listed.id })
     }
     if (server) {
-      this.directory.experience.observeAbsent(server, now)
+      this.directory.observations.recordAbsent(server, now)
     }
   }
 }
--- a/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
@@ -155,7 +155,7 @@
       return
     }
     if (server && current) {
-      context.directory.experience.observeSuccess(server, exchange.route.name, head.at - current.beganAt, this.now)
+      context.directory.observations.recordSuccess(server, exchange.route.name, head.at - current.beganAt, this.now)
       context.suspects.clearSuspicion(exchange, server.listed.id, current.beganAt, this.now)
     }
     relay.end()
@@ -222,7 +222,7 @@
     if (shouldAbandon(context, exchange, { current, ledger, canContinue: relay.canContinue, hasBegun: answer.hasBegun })) {
       attempt.timeOut()
     } else if (!attempt.isOnReusedConnection) {
-      context.directory.experience.observeFault(server, this.now)
+      context.directory.observations.recordFault(server, this.now)
     }
   }
 
--- a/packages/foxtaillever-relay/src/exchange/inFlightAttempt.ts
+++ b/packages/foxtaillever-relay/src/exchange/inFlightAttempt.ts
@@ -42,7 +42,7 @@
     server.unreadTokens += this.unreadTokens
     this.tokensToRead = server.unreadTokens + options.othersTokens
     server.heldTokens += heldTokens
-    this.fetch = options.context.caches.fetchLoad.begin(terms.fetchFrom, terms.fetchedTokens, terms.fetchUntil)
+    this.fetch = options.context.caches.fetchLoad.beginTransfer(terms.fetchFrom, terms.fetchedTokens, terms.fetchUntil)
     options.context.onLoadChanged()
   }
 
@@ -67,7 +67,7 @@
   /** Records that the answer has begun. */
   markBegun (): void {
     const { server, beganAt } = this
-    server.newestBegun = Math.max(server.newestBegun, beganAt)
+    server.newestAnsweredSentAt = Math.max(server.newestAnsweredSentAt, beganAt)
   }
 
   /**
@@ -76,7 +76,7 @@
    * weights; one that answers later requests first has lost this one.
    */
   get isOvertaken (): boolean {
-    return this.server.newestBegun > this.beganAt
+    return this.server.newestAnsweredSentAt > this.beganAt
   }
 
   /** Whether the server changed its weights during the attempt, which explains a silence. */
@@ -115,7 +115,7 @@
     this.server.unreadTokens -= this.unreadTokens
     this.unreadTokens = 0
     const { caches, onLoadChanged } = this.options.context
-    caches.fetchLoad.end(this.fetch)
+    caches.fetchLoad.endTransfer(this.fetch)
     this.fetch = undefined
     onLoadChanged()
   }
--- a/packages/foxtaillever-relay/src/exchange/recordAnswerHead.ts
+++ b/packages/foxtaillever-relay/src/exchange/recordAnswerHead.ts
@@ -11,11 +11,11 @@
   const { weightsVersion } = marks
   inFlight.markBegun()
   if (prompt && weightsVersion !== undefined) {
-    directory.observeWeights(inFlight.server, prompt.model, weightsVersion)
+    directory.recordWeights(inFlight.server, prompt.model, weightsVersion)
   }
   // Waiting for new weights or behind other requests says nothing about the prefill speed.
   if (prompt && status < FIRST_UNSUCCESSFUL_STATUS && !inFlight.isChanging && !inFlight.isYielding) {
-    directory.experience.prefillSpeedOf(service).observe(inFlight.tokensToRead, at - inFlight.beganAt)
+    directory.observations.prefillSpeedOf(service).observe(inFlight.tokensToRead, at - inFlight.beganAt)
   }
   inFlight.recordStatus(status, clock.now())
 }
--- a/packages/foxtaillever-relay/src/exchange/recordAttemptFailure.ts
+++ b/packages/foxtaillever-relay/src/exchange/recordAttemptFailure.ts
@@ -10,21 +10,21 @@
   const id = server?.listed.id ?? ''
   log.attemptFailed(exchange, id, failure, verdict)
   if (server && isServersFault) {
-    directory.experience.observeFault(server, now)
+    directory.observations.recordFault(server, now)
   }
   if (server && failure.kind === AttemptFailureKind.Unreachable) {
-    directory.experience.observeAbsent(server, now)
+    directory.observations.recordAbsent(server, now)
     onUnreachable(server)
   }
   if (server && failure.kind === AttemptFailureKind.Misdirected && failure.serverId !== undefined && failure.serverId !== id) {
-    directory.experience.observeDisplaced(server, now)
+    directory.observations.recordDisplaced(server, now)
   }
   if (server && failure.kind === AttemptFailureKind.Refused) {
     // The server is full, or about to change its weights.
     server.refusedAt = now
   }
   if (mayBeStaleConnection(failure)) {
-    directory.experience.distrustKept(exchange.service, now)
+    directory.observations.distrustIdleConnections(exchange.service, now)
   }
   if (mayBeCrash(failure.kind)) {
     suspects.recordLoss(exchange, id, now)
--- a/packages/foxtaillever-relay/src/peers/beatContents.ts
+++ b/packages/foxtaillever-relay/src/peers/beatContents.ts
@@ -29,13 +29,13 @@
     positions: knowledge.positions,
     revision,
     lease: office.lease.snapshot(),
-    uses: caches.uses(),
+    uses: caches.fetchLoads(),
     sums: peers.loads.sums(directory.all().map(({ hash }) => hash)),
     suspects: suspects.factsToAnnounce(clock.now()),
-    ...caches.word(),
+    ...caches.createReport(),
     named: office.rollout.versionAges(),
     current: office.rollout.currentEngines(),
-    speeds: directory.speedsToTell(),
+    speeds: directory.speedsToAnnounce(),
     limits: limits.updates()
   }
 }
@@ -45,9 +45,9 @@
   desk.setInstanceCount(peers.count())
   desk.limits.applyUpdates(limits)
   parts.suspects.receiveFacts(suspects, clock.now())
-  desk.caches.hear(address, caches)
+  desk.caches.applyReport(address, caches)
   takeWeightsNotice(office, { news: [], lease })
-  speeds.forEach(({ service, ...word }) => desk.directory.experience.prefillSpeedOf(service).hear(word))
+  speeds.forEach(({ service, ...word }) => desk.directory.observations.prefillSpeedOf(service).hear(word))
   named.forEach(news => office.rollout.applyVersion(news))
   current.forEach(news => office.rollout.applyCurrentEngines(news))
 }
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -92,7 +92,7 @@
     await this.peers.start()
     this.peers.nameAll(seeds)
     this.knowledge.start()
-    this.desk.caches.watch.start()
+    this.desk.caches.monitor.start()
     this.note(this.memberBook.enter())
     await this.callers.listen(callers.host, callers.port)
     await this.readiness.listen(readiness.host, readiness.port)
@@ -127,7 +127,7 @@
     }
     this.desk.runs.abort()
     this.office.rollout.stop()
-    this.desk.caches.watch.stop()
+    this.desk.caches.monitor.stop()
     this.knowledge.stop()
     this.readiness.close()
     this.figures.close()
@@ -153,7 +153,7 @@
       weightsBoundMs,
       suspects: this.suspects,
       quota: AccountQuotas.create({ clock, log: this.log, protocol: () => this.limits[LimitScope.Account], revision: () => this.revision }),
-      use: { of: hash => this.peers.use.of(hash) },
+      fleetLoad: { of: hash => this.peers.use.of(hash) },
       othersTokens: store => this.peers.tokensFrom(store),
       cacheStoreCalls,
       ownAddress: () => this.peers.address,
@@ -161,7 +161,7 @@
       onLoadChanged: () => this.peers.loads.noteChange(),
       onUnreachable: ({ hash }) => this.peers.loads.noteUnreachable(hash),
       onBackoffRequested: ({ hash }) => this.peers.loads.noteResting(hash),
-      tellAll: () => this.peers.send(),
+      announceNow: () => this.peers.send(),
       queryLoad: wish => this.peers.loads.ask(wish()),
       onSaved: level => this.peers.loads.noteSaved(level),
       limitProtocol: () => this.limits[LimitScope.Server],
@@ -195,7 +195,7 @@
       tell: (topic, from) => this.knowledge.tell(topic, from),
       onMessage: message => takePeerMessage(this.beatParts(), message),
       ownUses: () => ownUses(this.desk.directory.all()),
-      isAskedFor: server => (this.desk.directory.ofHash(server)?.weights.size ?? 0) > 0,
+      isAskedFor: server => (this.desk.directory.getByHash(server)?.weights.size ?? 0) > 0,
       onSaved: levels => this.desk.caches.savedLevels.hear(levels, clock.now()),
       onUnreachable: hash => this.desk.recordUnreachable(hash),
       onResting: hash => this.desk.recordBackoff(hash),
--- a/packages/foxtaillever-relay/src/weights/__tests__/refusals.test.ts
+++ b/packages/foxtaillever-relay/src/weights/__tests__/refusals.test.ts
@@ -39,7 +39,7 @@
 
   it('learns of it from the heartbeats of any other instance', t => {
     const [instance, other] = [instanceKnowing(2), instanceKnowing(2)]
-    other.directory.observeWeights(engineOf(other), MODEL, 2)
+    other.directory.recordWeights(engineOf(other), MODEL, 2)
     t.deepEqual(other.rollout.currentEngines(), [{ model: MODEL, version: 2, engines: [engineOf(other).hash] }])
     other.rollout.currentEngines().forEach(current => instance.rollout.applyCurrentEngines(current))
     t.is(versionAt(instance), 2)
--- a/packages/foxtaillever-relay/src/weights/__tests__/steering.test.ts
+++ b/packages/foxtaillever-relay/src/weights/__tests__/steering.test.ts
@@ -21,9 +21,9 @@
 
   it('sends it no work until it has the announced weights', t => {
     instance.rollout.applyUpdate({ server: engine.hash, model: MODEL, version: 3, changingMs: 2500 })
-    instance.directory.observeWeights(engine, MODEL, 2)
+    instance.directory.recordWeights(engine, MODEL, 2)
     t.true(isSteered(instance))
-    instance.directory.observeWeights(engine, MODEL, 3)
+    instance.directory.recordWeights(engine, MODEL, 3)
     t.false(isSteered(instance))
   })
 
--- a/packages/foxtaillever-relay/src/weights/orderCoordinator.ts
+++ b/packages/foxtaillever-relay/src/weights/orderCoordinator.ts
@@ -40,7 +40,7 @@
     log,
     rank: () => isEligible() ? orderRank(name, eligiblePeers(peers).map(peer => peer.name), lease.lastHolder) : LAST_RANK,
     outstandingAt: ({ outstanding, hash }) => outstanding + peers.use.of(hash).outstanding,
-    waitMsAt: ({ unreadTokens, hash, listed }) => (unreadTokens + peers.use.of(hash).tokens) / directory.experience.prefillSpeedOf(listed.service).tokensPerMs,
+    waitMsAt: ({ unreadTokens, hash, listed }) => (unreadTokens + peers.use.of(hash).tokens) / directory.observations.prefillSpeedOf(listed.service).tokensPerMs,
     announce: updates => peers.tellWeights(updates)
   })
   return { lease, rollout }
--- a/packages/foxtaillever-relay/src/weights/weightsRollout.ts
+++ b/packages/foxtaillever-relay/src/weights/weightsRollout.ts
@@ -83,9 +83,9 @@
     const { clock, directory } = this.options
     const now = clock.now()
     this.progressAt = now
-    const engine = directory.ofHash(server)
+    const engine = directory.getByHash(server)
     if (engine && changingMs === 0) {
-      directory.observeWeights(engine, model, version)
+      directory.recordWeights(engine, model, version)
     } else if (engine && (engine.weights.get(model) ?? 0) < version) {
       engine.changingUntil = now + changingMs
       engine.changingTo = { model, version }
@@ -100,7 +100,7 @@
   handleRefusal (server: KnownServer, model: string | undefined, expected: number | undefined): void {
     const next = model === undefined || expected === undefined ? undefined : this.named.next(model, expected)
     if (model !== undefined && next !== undefined) {
-      this.options.directory.observeWeights(server, model, next.version)
+      this.options.directory.recordWeights(server, model, next.version)
     }
     this.ensureRunning()
   }
@@ -120,7 +120,7 @@
     const hashes = new Set(engines)
     this.enginesOf(model)
       .filter(engine => (engine.weights.get(model) ?? 0) < version && hashes.has(engine.hash))
-      .forEach(engine => this.options.directory.observeWeights(engine, model, version))
+      .forEach(engine => this.options.directory.recordWeights(engine, model, version))
   }
 
   /** Stops permanently: updates during a shutdown start nothing, and another instance may give the orders. */
@@ -160,7 +160,7 @@
   private enginesOf (model: string): KnownServer[] {
     const { clock, directory } = this.options
     const now = clock.now()
-    return directory.all().filter(({ listed, weights, displacedUntil }) => listed.state === ServerState.Ready && displacedUntil <= now && weights.has(model) && directory.isServed(listed.service))
+    return directory.all().filter(({ listed, weights, displacedUntil }) => listed.state === ServerState.Ready && displacedUntil <= now && weights.has(model) && directory.hasService(listed.service))
   }
 
   private wantedVersion (model: string): number {
@@ -255,8 +255,8 @@
         log,
         onWeights,
         onFenced: () => lease.drop(),
-        onDisplaced: () => directory.experience.observeDisplaced(engine, clock.now()),
-        isSameIncarnation: startedAt => directory.observeStart(engine, startedAt)
+        onDisplaced: () => directory.observations.recordDisplaced(engine, clock.now()),
+        isSameIncarnation: startedAt => directory.recordStart(engine, startedAt)
       }))
     }
   }
@@ -285,7 +285,7 @@
     const { directory, clock } = this.options
     const { id } = engine.listed
     const isNew = version > (engine.weights.get(model) ?? -1)
-    directory.observeWeights(engine, model, version)
+    directory.recordWeights(engine, model, version)
     if (isNew || this.hasWantedVersion(engine, model)) {
       this.progressAt = clock.now()
       this.pendingUpdates.set(id, { server: engine.hash, model, version, changingMs: 0 })
--- a/packages/foxtaillever-router/src/plain/createPlainDesk.ts
+++ b/packages/foxtaillever-router/src/plain/createPlainDesk.ts
@@ -2,7 +2,7 @@
 import { presetOf, type Clock, type Configuration, type Random } from 'foxtaillever-core'
 import type { RetryAllowance } from 'foxtaillever-policy/relay/retryShare'
 import { noLoad } from 'foxtaillever-policy/relay/serverLoad'
-import { withoutStores } from 'foxtaillever-relay/cache/cacheUse'
+import { noCacheStores } from 'foxtaillever-relay/cache/cacheStoreTracker'
 import { ExchangeDispatcher } from 'foxtaillever-relay/exchange/exchangeDispatcher'
 import type { Suspicions } from 'foxtaillever-relay/exchange/exchangeContext'
 import { noQuotas } from 'foxtaillever-relay/limits/accountQuotas'
@@ -55,8 +55,8 @@
     suspects: noSuspicions,
     // The router's own limits have let the call pass.
     quota: noQuotas,
-    use: { of: () => noLoad },
-    ...withoutStores,
+    fleetLoad: { of: () => noLoad },
+    ...noCacheStores,
     onLoadChanged: () => {},
     onSaved: () => {},
     onUnreachable: () => {},
