--- /dev/null
+++ b/packages/foxtaillever-relay/src/knowledge/__tests__/recordHandler.test.ts
@@ -0,0 +1,107 @@
+/**
+ * While the platform's store is down, the entries of all backend servers expire.
+ * Once it recovers, it reports the removals shortly before the servers write their
+ * entries again. An instance that removes its servers at once refuses every request
+ * for two seconds, though all servers work.
+ */
+import { Right } from 'purify-ts'
+import { describe, it, VirtualClock } from 'foxtaillever-testing'
+import { Logs } from 'foxtaillever-telemetry'
+import { ServerState, type ListedServer } from '../../model/listedServer.js'
+import { OperatorKey } from '../../relayOptions.js'
+import type { Routing } from '../../model/routing.js'
+import { ServerDirectory } from '../../servers/serverDirectory.js'
+import { RelayLog } from '../../telemetry/relayLog.js'
+import { RecordHandler, type RecordHandlerOptions } from '../recordHandler.js'
+import { positionAt } from '../storePosition.js'
+
+function readEntry (id: string): ListedServer {
+  return { id, startedAt: 0, service: 'chat', address: '127.0.0.1:1', failureDomain: 'one', slots: 1, state: ServerState.Ready, coldLeftMs: 0, weights: new Map() }
+}
+
+function createOptions (clock: VirtualClock): RecordHandlerOptions {
+  return {
+    clock,
+    log: RelayLog.create(Logs.create({ instance: 'a', level: 'silent', clock })),
+    readers: {
+      routing: () => { throw new Error('not read here') },
+      weights: () => { throw new Error('not read here') },
+      server: id => Right(readEntry(id)),
+      kindOfKey: () => OperatorKey.Other
+    },
+    directory: ServerDirectory.create({ onChanged: () => {} }),
+    removalsDeferredUntil: () => -Infinity,
+    onRouting: () => {},
+    onWeights: () => true
+  }
+}
+
+function createHandler (settledAt: number): { clock: VirtualClock, handler: RecordHandler, ready: () => string[] } {
+  const clock = VirtualClock.create()
+  const directory = ServerDirectory.create({ onChanged: () => {} })
+  const handler = RecordHandler.create({ ...createOptions(clock), directory, removalsDeferredUntil: () => clock.now() < settledAt ? settledAt : -Infinity })
+  return { clock, handler, ready: () => directory.ready('chat').map(({ listed }) => listed.id) }
+}
+
+const value = Buffer.from('entry')
+
+describe('RecordHandler', () => {
+  it('keeps servers whose entries expired while the store was down, if they write them again', async t => {
+    const { clock, handler, ready } = createHandler(1_002_200)
+    handler.applyServerRecord({ key: 'back', value, offset: 0 })
+    handler.applyServerRecord({ key: 'gone', value, offset: 1 })
+    handler.applyServerRecord({ key: 'back', value: undefined, offset: 2 })
+    handler.applyServerRecord({ key: 'gone', value: undefined, offset: 3 })
+    t.deepEqual(ready(), ['back', 'gone'])
+    handler.applyServerRecord({ key: 'back', value, offset: 4 })
+    await clock.advanceBy(2300)
+    t.deepEqual(ready(), ['back'])
+  })
+
+  it('removes a server at once while the store works, and adds it again with its next entry', t => {
+    const { handler, ready } = createHandler(-Infinity)
+    handler.applyServerRecord({ key: 's', value, offset: 0 })
+    handler.applyServerRecord({ key: 's', value: undefined, offset: 1 })
+    t.deepEqual(ready(), [])
+    handler.applyServerRecord({ key: 's', value, offset: 2 })
+    t.deepEqual(ready(), ['s'])
+  })
+
+  describe('with configurations of a restored store', () => {
+    const text = (revision: number, contents: string): Buffer => Buffer.from(`${revision} ${contents}`)
+
+    function createRoutingHandler (): { handler: RecordHandler, applied: string[] } {
+      const clock = VirtualClock.create()
+      const applied: string[] = []
+      const options = createOptions(clock)
+      const handler = RecordHandler.create({
+        ...options,
+        readers: {
+          ...options.readers,
+          routing: bytes => Right({ revision: Number(bytes.toString().split(' ')[0]), text: bytes.toString() } as unknown as Routing),
+          kindOfKey: () => OperatorKey.Routing
+        },
+        onRouting: routing => applied.push((routing as unknown as { readonly text: string }).text)
+      })
+      return { handler, applied }
+    }
+
+    // Guards against a return to the older configuration of the backup.
+    it('keeps the newest revision, whatever its position', t => {
+      const { handler, applied } = createRoutingHandler()
+      t.true(handler.applyOperatorRecord({ key: 'config', value: text(5, 'a'), offset: 9 }))
+      t.false(handler.applyOperatorRecord({ key: 'config', value: text(4, 'a'), offset: positionAt(1, 2) }))
+      t.true(handler.applyOperatorRecord({ key: 'config', value: text(6, 'a'), offset: 10 }))
+      t.deepEqual(applied, ['5 a', '6 a'])
+    })
+
+    // A revision may be assigned again with other contents after a restore: the one confirmed later must win.
+    it('applies other contents of the same revision if they were written later', t => {
+      const { handler, applied } = createRoutingHandler()
+      t.true(handler.applyOperatorRecord({ key: 'config', value: text(5, 'lost'), offset: 9 }))
+      t.true(handler.applyOperatorRecord({ key: 'config', value: text(5, 'again'), offset: positionAt(1, 2) }))
+      t.false(handler.applyOperatorRecord({ key: 'config', value: text(5, 'lost'), offset: 9 }))
+      t.deepEqual(applied, ['5 lost', '5 again'])
+    })
+  })
+})
--- a/packages/foxtaillever-relay/src/knowledge/__tests__/restoredStore.test.ts
+++ b/packages/foxtaillever-relay/src/knowledge/__tests__/restoredStore.test.ts
@@ -1,19 +1,19 @@
-/** The store comes back from an older copy and gives offsets out again. */
+/** The store is restored from a backup and assigns offsets again. */
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { FakeFleet, FakeStore } from '../__fixtures__/fakeFleet.js'
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f']
 
-/** The bound on configurations, and on work for a server that has left, milliseconds. */
+/** Time limit for a new configuration or a server's leaving to reach all instances, milliseconds. */
 const BOUND_MS = 2000
 
-/** Entries that are missing after a return may be written again for so long, milliseconds. */
-const RETURN_MS = 2200
+/** Entries that are missing after a recovery may be written again for this long, milliseconds. */
+const RECOVERY_GRACE_MS = 2200
 
-const AWAY_MS = 500
+const OUTAGE_MS = 500
 const LOST = 6
 
-/** Versions of the configuration: the last that is lost, and those that follow. */
+/** Versions of the configuration: the last one that is lost, and those that follow. */
 const NEWEST_LOST = '7'
 const NEW = '8'
 const NEWER = '9'
@@ -25,9 +25,9 @@
 }
 
 interface Events {
-  /** Carried out on the store in the seconds that are lost. */
+  /** Changes to the store after the backup, which the restore loses. */
   readonly lost?: (store: FakeStore) => void
-  /** Carried out on the restored store before any call gets through. */
+  /** Changes to the restored store before any call reaches it. */
   readonly beforeCalls?: (store: FakeStore) => void
 }
 
@@ -46,111 +46,111 @@
     store.append('servers', 'other', `ready|${count}`)
     await clock.advanceBy(500)
   }
-  store.isAway = true
-  await clock.advanceBy(AWAY_MS)
+  store.isDown = true
+  await clock.advanceBy(OUTAGE_MS)
   store.restore(copy)
   beforeCalls?.(store)
-  store.isAway = false
+  store.isDown = false
   return { clock, store, fleet }
 }
 
-describe('Knowledge of a store that was restored from an older copy', () => {
-  // Guards against records that are passed over because their offsets were given out before.
-  it('has what is written afterwards within the bound, at lower offsets too', async t => {
+describe('StoreReplica of a store that was restored from a backup', () => {
+  // Guards against records that are skipped because their offsets were assigned before.
+  it('has later records within the time limit, even at lower offsets', async t => {
     const { clock, store, fleet } = await restoreStore()
     await clock.advanceBy(BOUND_MS)
     store.append('operators', 'config', NEW)
     await clock.advanceBy(BOUND_MS)
-    t.deepEqual(NAMES.filter(name => fleet.get(name).beliefs.get('config') !== NEW), [])
+    t.deepEqual(NAMES.filter(name => fleet.get(name).values.get('config') !== NEW), [])
   })
 
-  // Guards against a reader that goes on at its former offset where the topic has grown past it meanwhile.
-  it('misses nothing below its former position, though the store has that offset again', async t => {
+  // Guards against a reader that continues at its former offset when the topic has grown past it meanwhile.
+  it('misses nothing below its former offset, though the store has that offset again', async t => {
     const { clock, fleet } = await restoreStore({
       beforeCalls: store => {
         store.append('servers', 's', undefined)
         Array.from({ length: 2 * LOST }, (_, count) => store.append('servers', 'other', `ready|${count}`))
       }
     })
-    await clock.advanceBy(BOUND_MS + RETURN_MS)
-    t.deepEqual(NAMES.filter(name => fleet.get(name).beliefs.get('s') !== ''), [])
+    await clock.advanceBy(BOUND_MS + RECOVERY_GRACE_MS)
+    t.deepEqual(NAMES.filter(name => fleet.get(name).values.get('s') !== ''), [])
   })
 
-  // Guards against requests to a server that has left and is listed again by the copy alone.
-  it('takes a server that has left for alive again by its next heartbeat only', async t => {
+  // Guards against requests to a server that has left and is listed again only because it is in the backup.
+  it('adds a server that has left again only after its next heartbeat', async t => {
     const { clock, store, fleet } = await restoreStore({ lost: store => store.append('servers', 's', undefined) })
     await clock.advanceBy(BOUND_MS)
-    t.deepEqual(NAMES.filter(name => fleet.get(name).beliefs.get('s') !== ''), [])
+    t.deepEqual(NAMES.filter(name => fleet.get(name).values.get('s') !== ''), [])
     store.append('servers', 's', 'ready|1')
     await clock.advanceBy(BOUND_MS)
-    t.deepEqual(NAMES.filter(name => fleet.get(name).beliefs.get('s') !== 'ready'), [])
+    t.deepEqual(NAMES.filter(name => fleet.get(name).values.get('s') !== 'ready'), [])
   })
 
-  // Guards against an instance that is told to lack nothing by others who never knew that the server had left.
-  it('hears of a server that is back though others do not tell of it', async t => {
+  // Guards against an instance that skips reads because others, which never knew that the server had left, report no changes.
+  it('learns that a server is alive again, though others do not announce it', async t => {
     const { clock, store, fleet } = await restoreStore({ lost: store => store.append('servers', 's', undefined) })
     await clock.advanceBy(BOUND_MS)
-    // So many that the one whose turn to read comes first is among them.
+    // Enough instances that the next reader is one of them.
     const started = Array.from({ length: 30 }, (_, index) => `started-${index}`)
     started.forEach(name => {
-      fleet.cut.add(name)
+      fleet.cutOff.add(name)
       fleet.add(name)
     })
     await clock.advanceBy(BOUND_MS)
-    for (let beat = 0; beat < 8; beat += 1) {
-      store.append('servers', 's', `ready|${beat}`)
+    for (let heartbeat = 0; heartbeat < 8; heartbeat += 1) {
+      store.append('servers', 's', `ready|${heartbeat}`)
       await clock.advanceBy(400)
     }
-    t.deepEqual(NAMES.filter(name => fleet.get(name).beliefs.get('s') !== 'ready'), [])
+    t.deepEqual(NAMES.filter(name => fleet.get(name).values.get('s') !== 'ready'), [])
   })
 
-  // Guards against dropping servers that came in the lost seconds before they can write their entries again.
-  it('lets servers that the copy does not list return', async t => {
+  // Guards against removing servers that started after the backup before they can write their entries again.
+  it('leaves servers that are not in the backup time to write their entries again', async t => {
     const { clock, fleet } = await restoreStore({ lost: store => store.append('servers', 'new', 'ready') })
-    const returnedAt = clock.now()
+    const recoveredAt = clock.now()
     await clock.advanceBy(BOUND_MS)
-    t.deepEqual(NAMES.filter(name => fleet.get(name).knowledge.settledAt < returnedAt + BOUND_MS), [])
+    t.deepEqual(NAMES.filter(name => fleet.get(name).replica.removalsDeferredUntil < recoveredAt + BOUND_MS), [])
   })
 
-  // Guards against an instance that hears of the return from another only, or while the store holds its call.
-  it('is read anew also where the store turns the instance away', async t => {
+  // Guards against stale data in an instance that learns of the restore only from another, or while the store holds its call.
+  it('is current again even where the instance cannot reach the store', async t => {
     const { clock, store, fleet } = await restoreStore()
-    store.dark.add('a')
+    store.unreachableFrom.add('a')
     await clock.advanceBy(BOUND_MS)
     store.append('operators', 'config', NEW)
     await clock.advanceBy(BOUND_MS)
-    t.is(fleet.get('a').beliefs.get('config'), NEW)
-    store.dark.clear()
+    t.is(fleet.get('a').values.get('config'), NEW)
+    store.unreachableFrom.clear()
     store.append('operators', 'config', NEWER)
     await clock.advanceBy(BOUND_MS)
-    t.is(fleet.get('a').beliefs.get('config'), NEWER)
+    t.is(fleet.get('a').values.get('config'), NEWER)
   })
 
-  // Guards against a configuration that was in force and is taken back while the store shows an older one.
-  it('keeps what was in force until something newer is written', async t => {
+  // Guards against a return from the configuration in force to the older one of the backup.
+  it('keeps the configuration in force until a newer one is written', async t => {
     const { clock, fleet } = await restoreStore()
     await clock.advanceBy(BOUND_MS)
-    t.deepEqual(NAMES.filter(name => fleet.get(name).beliefs.get('config') !== NEWEST_LOST), [])
+    t.deepEqual(NAMES.filter(name => fleet.get(name).values.get('config') !== NEWEST_LOST), [])
   })
 
-  // Guards against an instance that takes the copy's configuration for the newest because it has just started.
+  // Guards against a newly started instance that uses the backup's configuration as the newest.
   for (const [how, isCut] of [['', false], [', though its first calls to others fail', true]] as const) {
-    it(`brings an instance that starts meanwhile to what is in force${how}`, async t => {
+    it(`gives an instance that starts meanwhile the configuration in force${how}`, async t => {
       const { clock, fleet } = await restoreStore()
       await clock.advanceBy(BOUND_MS / 2)
       if (isCut) {
-        fleet.cut.add('late')
+        fleet.cutOff.add('late')
       }
       const started = fleet.add('late')
       await clock.advanceBy(BOUND_MS / 2)
-      fleet.cut.clear()
+      fleet.cutOff.clear()
       await clock.advanceBy(BOUND_MS / 2)
-      t.is(started.beliefs.get('config'), NEWEST_LOST)
+      t.is(started.values.get('config'), NEWEST_LOST)
     })
   }
 
-  // Guards against waiting for an answer that was held across the return and never comes.
-  it('is read anew within the bound where held calls stay silent', async t => {
+  // Guards against waiting for an answer that the store held during the restore and never sends.
+  it('is read again within the time limit when held calls get no answer', async t => {
     const { clock, store, fleet } = await restoreStore()
     await clock.advanceBy(BOUND_MS)
     const copy = store.copy()
@@ -160,10 +160,10 @@
     store.restore(copy)
     store.append('operators', 'config', NEWER)
     await clock.advanceBy(BOUND_MS)
-    t.deepEqual(NAMES.filter(name => fleet.get(name).beliefs.get('config') !== NEWER), [])
+    t.deepEqual(NAMES.filter(name => fleet.get(name).values.get('config') !== NEWER), [])
   })
 
-  // Guards against two restorations in a row, the second before everybody has noticed the first.
+  // Guards against missing the second of two restores, which comes before all instances have detected the first.
   it('follows a store that is restored twice in a row', async t => {
     const { clock, store, fleet } = await restoreStore()
     const copy = store.copy()
@@ -172,6 +172,6 @@
     store.restore(copy)
     store.append('operators', 'config', NEWER)
     await clock.advanceBy(BOUND_MS)
-    t.deepEqual(NAMES.filter(name => fleet.get(name).beliefs.get('config') !== NEWER), [])
+    t.deepEqual(NAMES.filter(name => fleet.get(name).values.get('config') !== NEWER), [])
   })
 })
--- a/packages/foxtaillever-relay/src/knowledge/__tests__/restoredStoreHerd.test.ts
+++ b/packages/foxtaillever-relay/src/knowledge/__tests__/restoredStoreHerd.test.ts
@@ -7,25 +7,25 @@
 
 const INSTANCES = 380
 
-/** Calls that the store takes in a second, of all instances; others are rejected. */
+/** Calls that the store accepts in a second from all instances together; others are rejected. */
 const READS_PER_S = 2000
 
-/** What the store reads for all instances together, bytes a millisecond. */
-const READ_RATE = 80_000
+/** Read rate of the store for all instances together, bytes a millisecond. */
+const READ_BYTES_PER_MS = 80_000
 
 /** Pages of each topic, bytes: entries of 670 servers and a configuration of 50 KB, in base64. */
 const PAGES: Readonly<Record<string, readonly number[]>> = { servers: [200_000, 68_000], operators: [70_000] }
 
-/** Every instance has to know what was confirmed, milliseconds, at this size. */
+/** Time limit for every instance of a fleet of this size to read confirmed records, milliseconds. */
 const BOUND_MS = 8000
 
 const failure = Failure.create(FailureCode.LogUnavailable, Verdict.NotRun, 'no answer')
 
-/** Answers one call after the other, also those that were given up. */
+/** Answers calls one after another, including those that timed out at the caller. */
 class BusyStore {
   era = 0
   private freeAt = 0
-  private taken: number[] = []
+  private callTimes: number[] = []
 
   constructor (private readonly clock: VirtualClock) {}
 
@@ -35,24 +35,24 @@
     if (!this.isWithinRate()) {
       return Left(failure)
     }
-    const askedAt = this.clock.now()
-    this.freeAt = Math.max(this.freeAt, askedAt) + (pages[index] ?? 0) / READ_RATE
-    const isInTime = this.freeAt <= askedAt + answerMs
-    await waitUntil(this.clock, Math.min(this.freeAt, askedAt + answerMs))
+    const calledAt = this.clock.now()
+    this.freeAt = Math.max(this.freeAt, calledAt) + (pages[index] ?? 0) / READ_BYTES_PER_MS
+    const isInTime = this.freeAt <= calledAt + answerMs
+    await waitUntil(this.clock, Math.min(this.freeAt, calledAt + answerMs))
     const record = { key: String(index + 1), value: Buffer.from('ready'), offset: positionAt(this.era, index) }
     return isInTime ? Right({ records: [record], hasMore: index + 1 < pages.length, end: positionAt(this.era, pages.length) }) : Left(failure)
   }
 
   private isWithinRate (): boolean {
     const now = this.clock.now()
-    this.taken = [...this.taken.filter(at => at > now - 1000), now]
-    return this.taken.length <= READS_PER_S
+    this.callTimes = [...this.callTimes.filter(at => at > now - 1000), now]
+    return this.callTimes.length <= READS_PER_S
   }
 }
 
 describe('all instances of a large fleet', () => {
-  // Guards against a herd whose readings of a restored store all fail at once, and again.
-  it('read a restored store whole within the bound', async t => {
+  // Guards against a thundering herd: complete reads of a restored store that time out together, again and again.
+  it('complete their reads of a restored store within the time limit', async t => {
     const clock = VirtualClock.create()
     const store = new BusyStore(clock)
     const log: KeyedLog = {
@@ -71,14 +71,14 @@
         waitMs: () => 0,
         dueAt: () => Infinity,
         notBefore: () => 0,
-        isTold: () => false,
+        hasPeerUpdates: () => false,
         onAnswered: () => {},
         onRecord: () => {},
-        onListed: () => {},
-        onWhole: (_, end) => { if (eraOf(end) === 1) { knownAt.set(follower, clock.now()) } },
-        onReached: () => {},
-        onLost: () => {},
-        onRegained: () => {}
+        onListedRecord: () => {},
+        onCompleteRead: (_, end) => { if (eraOf(end) === 1) { knownAt.set(follower, clock.now()) } },
+        onAdvanced: () => {},
+        onUnreachable: () => {},
+        onRecovered: () => {}
       })
       return follower
     }))
@@ -86,7 +86,7 @@
     await clock.advanceBy(60_000)
     store.era = 1
     const restoredAt = clock.now()
-    followers.forEach(follower => follower.enter(store.era))
+    followers.forEach(follower => follower.readEra(store.era))
     await clock.advanceBy(BOUND_MS)
     t.is(knownAt.size, followers.length)
     t.true(Math.max(...knownAt.values()) <= restoredAt + BOUND_MS)
--- a/packages/foxtaillever-relay/src/knowledge/__tests__/topicFollower.test.ts
+++ b/packages/foxtaillever-relay/src/knowledge/__tests__/topicFollower.test.ts
@@ -1,7 +1,7 @@
 /**
- * The store drops old records, turns an instance away for a while, or answers a
- * held call too soon. Each call is paid for, and calls beyond a limit are turned
- * away for all instances; but what was missed must be noticed.
+ * The store may delete old records, be unreachable for a while, or answer a held call
+ * too soon. Each call costs money, and calls beyond the store's rate limit are
+ * rejected for all instances, but missed records must still be detected.
  */
 import { Failure, FailureCode, SeededRandom, Verdict } from 'foxtaillever-core'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
@@ -19,10 +19,10 @@
   readonly clock: VirtualClock
   readonly follower: TopicFollower
   readonly calls: string[]
-  readonly wholeKeys: string[][]
+  readonly keysOfCompleteReads: string[][]
   records: KeyedRecord[]
   answer: Answer
-  isTold: boolean
+  hasPeerUpdates: boolean
 }
 
 const ANSWER_MS = 4
@@ -31,18 +31,18 @@
 function createRig (dueEveryMs: number): Rig {
   const clock = VirtualClock.create()
   const calls: string[] = []
-  const wholeKeys: string[][] = []
-  const settled = async (): Promise<void> => await new Promise(resolve => { clock.at(clock.now() + ANSWER_MS, resolve) })
+  const keysOfCompleteReads: string[][] = []
+  const waitForAnswer = async (): Promise<void> => await new Promise(resolve => { clock.at(clock.now() + ANSWER_MS, resolve) })
   const log: KeyedLog = {
     era: 0,
     newest: async () => {
       calls.push('newest')
-      await settled()
+      await waitForAnswer()
       return rig.answer === Answer.Failure ? Left(unanswered) : Right({ records: rig.records, hasMore: false, end: 10 })
     },
     read: async (_, from) => {
       calls.push('read')
-      await settled()
+      await waitForAnswer()
       const isGap = rig.answer === Answer.Gap
       rig.answer = isGap ? Answer.Page : rig.answer
       return rig.answer === Answer.Failure ? Left(unanswered) : Right({ records: [], next: from, isGap })
@@ -51,26 +51,26 @@
   const rig: Rig = {
     clock,
     calls,
-    wholeKeys,
+    keysOfCompleteReads,
     records: [],
     answer: Answer.Page,
-    isTold: false,
+    hasPeerUpdates: false,
     follower: TopicFollower.create({
       clock,
       random: SeededRandom.create(3),
       log,
       topic: 'servers',
       waitMs: () => 0,
-      dueAt: () => rig.follower.triedAt + dueEveryMs,
+      dueAt: () => rig.follower.lastCallAt + dueEveryMs,
       notBefore: () => 0,
-      isTold: () => rig.isTold,
+      hasPeerUpdates: () => rig.hasPeerUpdates,
       onAnswered: () => {},
       onRecord: () => {},
-      onListed: () => {},
-      onWhole: keys => wholeKeys.push([...keys]),
-      onReached: () => {},
-      onLost: () => {},
-      onRegained: () => {}
+      onListedRecord: () => {},
+      onCompleteRead: keys => keysOfCompleteReads.push([...keys]),
+      onAdvanced: () => {},
+      onUnreachable: () => {},
+      onRecovered: () => {}
     })
   }
   rig.follower.start()
@@ -78,27 +78,27 @@
 }
 
 describe('TopicFollower', () => {
-  it('reads everything again when records that it has not read were dropped', async t => {
+  it('reads everything again when records that it has not read were deleted', async t => {
     const rig = createRig(700)
     await rig.clock.advanceBy(100)
     rig.records = [{ key: 's', value: Buffer.from('ready'), offset: 12 }]
     rig.answer = Answer.Gap
     await rig.clock.advanceBy(800)
-    t.deepEqual(rig.wholeKeys, [[], ['s']])
+    t.deepEqual(rig.keysOfCompleteReads, [[], ['s']])
   })
 
-  it('asks a store that does not answer less and less, and least while others tell', async t => {
+  it('calls a store that does not answer less and less often, and least often while others announce its contents', async t => {
     const rig = createRig(700)
     await rig.clock.advanceBy(100)
     rig.answer = Answer.Failure
     rig.calls.length = 0
     await rig.clock.advanceBy(12_000)
     const alone = rig.calls.length
-    rig.isTold = true
+    rig.hasPeerUpdates = true
     rig.calls.length = 0
     await rig.clock.advanceBy(12_000)
     t.true(alone <= 13, `${alone} calls alone`)
-    t.true(rig.calls.length <= 7, `${rig.calls.length} calls while told`)
+    t.true(rig.calls.length <= 7, `${rig.calls.length} calls with updates of peers`)
     rig.answer = Answer.Page
     await rig.clock.advanceBy(2100)
     t.true(rig.follower.isAnswered)
@@ -110,7 +110,7 @@
     t.true(rig.calls.length <= 51, `${rig.calls.length} calls`)
   })
 
-  it('reads at once when it is told that there is something new', async t => {
+  it('reads at once on request', async t => {
     const rig = createRig(10_000)
     await rig.clock.advanceBy(100)
     rig.calls.length = 0
--- a/packages/foxtaillever-relay/src/knowledge/createKnowledge.ts
+++ b/packages/foxtaillever-relay/src/knowledge/createStoreReplica.ts
@@ -1,46 +1,46 @@
-/** The knowledge of the platform's store among the parts of an instance: what it reads goes into the directory, the routes and the weights. */
+/** Connects the replica of the platform's store to the server directory, the routing and the weights of an instance. */
 import type { Routing } from '../model/routing.js'
 import type { Peers } from '../peers/peers.js'
 import { ToldTopic } from '../peers/toldTopic.js'
 import type { RelayOptions } from '../relayOptions.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
-import { Knowledge } from './knowledge.js'
-import { RecordIntake } from './recordIntake.js'
-import { readWallSeconds } from './suspension.js'
+import { StoreReplica } from './storeReplica.js'
+import { RecordHandler } from './recordHandler.js'
+import { readWallClockSeconds } from './suspensionDetector.js'
 
 type OwnOptions = Pick<RelayOptions, 'clock' | 'random' | 'log' | 'topics' | 'name' | 'failureDomain' | 'readers'>
 
-export interface CreateKnowledgeOptions extends OwnOptions {
+export interface CreateStoreReplicaOptions extends OwnOptions {
   readonly relayLog: RelayLog
   readonly directory: ServerDirectory
   readonly peers: Peers
-  /** Of the configuration in force; -1 before the first. */
+  /** Revision of the configuration in force; -1 before the first. */
   readonly revision: () => number
   readonly onRouting: (routing: Routing) => void
   /**
-   * @param isStart they were found in the store at the start.
-   * @returns false where newer weights of the model are named already.
+   * @param isStart whether the record was read while the instance started.
+   * @returns false if newer weights of the model are already set.
    */
   readonly onWeights: (model: string, version: number, isStart: boolean) => boolean
   readonly onRestored: () => void
 }
 
-export function createKnowledge (options: CreateKnowledgeOptions): Knowledge {
+export function createStoreReplica (options: CreateStoreReplicaOptions): StoreReplica {
   const { clock, random, log, topics, name, failureDomain, readers, relayLog, directory, peers, revision, onRouting, onWeights, onRestored } = options
-  const intake = RecordIntake.create({
+  const recordHandler = RecordHandler.create({
     clock,
     log: relayLog,
     readers,
     directory,
-    settledAt: () => knowledge.settledAt,
+    removalsDeferredUntil: () => replica.removalsDeferredUntil,
     onRouting,
-    onWeights: (model, version) => onWeights(model, version, !knowledge.isWhole)
+    onWeights: (model, version) => onWeights(model, version, !replica.isComplete)
   })
-  const knowledge = Knowledge.create({
+  const replica = StoreReplica.create({
     clock,
     random,
-    wallSeconds: readWallSeconds,
+    wallSeconds: readWallClockSeconds,
     self: { name, failureDomain },
     readers: () => peers.likely().filter(({ hasStore }) => hasStore),
     notify: notice => peers.notify(notice),
@@ -51,7 +51,7 @@
     peers: () => peers.table.all().map(({ address, last }) => ({ address, positions: last?.positions, revision: last?.revision ?? -1 })),
     revision,
     onRestored,
-    onRecord: { [ToldTopic.Operators]: record => intake.takeOperators(record), [ToldTopic.Servers]: record => intake.takeServer(record) }
+    onRecord: { [ToldTopic.Operators]: record => recordHandler.applyOperatorRecord(record), [ToldTopic.Servers]: record => recordHandler.applyServerRecord(record) }
   })
-  return knowledge
+  return replica
 }
--- a/packages/foxtaillever-relay/src/knowledge/keyedLog.ts
+++ b/packages/foxtaillever-relay/src/knowledge/keyedLog.ts
@@ -1,7 +1,7 @@
 /**
- * The narrow interface to topics of the platform's store in which the newest
- * record of each key is kept. What it calls offsets are positions, which
- * `storePosition` makes of the store's era and its offset.
+ * Interface to topics of the platform's store that keep the newest record of each
+ * key. Its offsets are positions, which `storePosition` composes of the store's era
+ * and the offset in the store.
  */
 import type { Failure } from 'foxtaillever-core'
 import type { Either } from 'purify-ts'
@@ -20,16 +20,16 @@
   readonly end: number
 }
 
-/** Records from an offset on, or word that they were deleted or that the store is in another era. */
+/** Records from an offset on, or a gap if they were deleted or the store is in another era. */
 export interface RecordPage {
   readonly records: readonly KeyedRecord[]
   readonly next: number
-  /** What stands between the offset asked for and the topic's end is not known by this answer. */
+  /** The answer does not have all records between the requested offset and the topic's end. */
   readonly isGap: boolean
 }
 
 export interface KeyedLog {
-  /** Rises each time the store was restored from an older copy, and gives offsets out again; the highest that an answer named, 0 before. */
+  /** The highest era in any answer, 0 before the first. It rises each time the store is restored from a backup, after which the store assigns offsets again. */
   readonly era: number
   /**
    * @param after key after which the page begins; empty for the first.
--- a/packages/foxtaillever-relay/src/knowledge/readPlans.ts
+++ b/packages/foxtaillever-relay/src/knowledge/readPlans.ts
@@ -1,26 +1,26 @@
-/** When this instance reads each topic of the platform's store: few read at a time and tell the others. */
+/** Decides when this instance reads each topic of the platform's store: few instances read at a time and notify the others. */
 import type { Clock } from 'foxtaillever-core'
 import { nextReadAt, nextWatchAt, placeReader, type Reader, type ReaderPlace } from 'foxtaillever-policy/relay/readTurn'
 import { ToldTopic } from '../peers/toldTopic.js'
-import type { Freshness } from './freshness.js'
+import type { FreshnessTracker } from './freshnessTracker.js'
 import type { TopicFollower, TopicFollowerOptions } from './topicFollower.js'
 
-/** How long the store may hold a call for operators' records, which are rare, milliseconds: a silent connection shows by then. */
+/** How long the store may hold a call for operators' records, which are rare, milliseconds; it bounds how long a dead connection goes unnoticed. */
 const OPERATORS_WAIT_MS = 2500
 
-/** Without a reading, here or told, for this long, others are asked, milliseconds. */
+/** Without a read, by this instance or announced by another, for this long, other instances are queried, milliseconds. */
 const STALE_MS = 1600
 
 export type ReadPlan = Pick<TopicFollowerOptions, 'waitMs' | 'dueAt' | 'notBefore' | 'onAnswered'>
 
 export interface ReadPlansOptions {
   readonly clock: Clock
-  readonly freshness: Freshness
-  /** This instance among those that read. */
+  readonly freshness: FreshnessTracker
+  /** This instance as a reader of the store. */
   readonly self: Reader
-  /** The others that the store answers. */
+  /** Other instances that the store answers. */
   readonly readers: () => readonly Reader[]
-  /** Who reads the servers' entries here. */
+  /** Follower of the servers' topic. */
   readonly servers: () => TopicFollower
 }
 
@@ -39,22 +39,22 @@
     return plans[topic]()
   }
 
-  /** This instance waits at the store for operators' changes, as far as it is reached. */
+  /** Whether this instance should wait at the store for operators' changes; the store may be unreachable. */
   get isWatching (): boolean {
     return this.watchAt() <= this.options.clock.now()
   }
 
-  /** The servers' entries are known as of a moment ago. */
+  /** Whether the servers' entries are at most STALE_MS old. */
   get isFresh (): boolean {
     return this.options.freshness.freshAt + STALE_MS > this.options.clock.now()
   }
 
-  /** Operators' records must be known at once, so the first of each failure domain wait for them at the store. */
+  /** Operators' records must arrive at once, so the first instances of each failure domain wait for them at the store. */
   private planOperators (): ReadPlan {
     return {
       waitMs: () => this.isWatching ? OPERATORS_WAIT_MS : 0,
       dueAt: () => this.watchAt(),
-      // One topic shows whether the store answers again; to call for both would cost twice.
+      // The servers' topic shows whether the store answers again; calls for both topics would cost twice.
       notBefore: () => this.options.servers().isFailing ? Infinity : 0,
       onAnswered: () => {}
     }
@@ -64,18 +64,18 @@
     const { clock, freshness, servers } = this.options
     return {
       waitMs: () => 0,
-      dueAt: () => nextReadAt(freshness.freshAt, this.place()),
+      dueAt: () => nextReadAt(freshness.freshAt, this.placeAmongReaders()),
       notBefore: () => 0,
-      onAnswered: () => freshness.noteAnswer(clock.now(), servers().isFailing)
+      onAnswered: () => freshness.recordStoreAnswer(clock.now(), servers().isFailing)
     }
   }
 
-  private place (): ReaderPlace {
+  private placeAmongReaders (): ReaderPlace {
     const { self, readers } = this.options
     return placeReader(self, readers())
   }
 
   private watchAt (): number {
-    return nextWatchAt(this.options.freshness.watchedAt, this.place())
+    return nextWatchAt(this.options.freshness.watchedAt, this.placeAmongReaders())
   }
 }
--- a/packages/foxtaillever-relay/src/knowledge/readingLog.ts
+++ b/packages/foxtaillever-relay/src/knowledge/readingLog.ts
@@ -1,19 +1,19 @@
-/** Lines on what readings of the platform's store brought, so that a record that was passed over can be found afterwards. */
+/** Logs the results of reads of the platform's store, so that skipped records can be found afterwards. */
 import type { ToldTopic } from '../peers/toldTopic.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import { formatPosition } from './storePosition.js'
 
-/** A reading that has ended. */
+/** A read that has ended. */
 export interface EndedReading {
   readonly topic: ToldTopic
   /** Everything before this position has been read. */
   readonly end: number
-  /** Everything before this position was known before. */
+  /** Everything before this position was known before the read. */
   readonly known: number
 }
 
 export class ReadingLog {
-  /** Records of the reading under way that are older than what is known, by topic. */
+  /** Counts of records of the current read that are older than the known ones, by topic. */
   private readonly older = new Map<ToldTopic, number>()
 
   private constructor (private readonly log: RelayLog) {}
@@ -22,27 +22,27 @@
     return new ReadingLog(log)
   }
 
-  /** @param isTaken the record is not older than what is known of its key. */
-  noteRecord (topic: ToldTopic, isTaken: boolean): void {
-    if (!isTaken) {
+  /** @param isCurrent whether the record is not older than the known one of its key. */
+  noteRecord (topic: ToldTopic, isCurrent: boolean): void {
+    if (!isCurrent) {
       this.older.set(topic, (this.older.get(topic) ?? 0) + 1)
     }
   }
 
-  whole ({ topic, end, known }: EndedReading, records: number): void {
-    const subject = { topic, end: formatPosition(end), known: formatPosition(known), records, older: this.takeOlder(topic) }
+  logCompleteRead ({ topic, end, known }: EndedReading, records: number): void {
+    const subject = { topic, end: formatPosition(end), known: formatPosition(known), records, older: this.takeOlderCount(topic) }
     this.log.belief('Read a topic of the platform\'s store whole.', subject)
   }
 
-  reached ({ topic, end, known }: EndedReading): void {
-    const older = this.takeOlder(topic)
+  logPartialRead ({ topic, end, known }: EndedReading): void {
+    const older = this.takeOlderCount(topic)
     if (older > 0) {
       const subject = { topic, end: formatPosition(end), known: formatPosition(known), older }
       this.log.trouble('Passed over records of the platform\'s store as older than what is known.', subject)
     }
   }
 
-  private takeOlder (topic: ToldTopic): number {
+  private takeOlderCount (topic: ToldTopic): number {
     const older = this.older.get(topic) ?? 0
     this.older.delete(topic)
     return older
--- a/packages/foxtaillever-relay/src/knowledge/recordTable.ts
+++ b/packages/foxtaillever-relay/src/knowledge/recordTable.ts
@@ -1,52 +1,52 @@
 /**
- * The newest record of each key of one topic, whoever told it. Offsets are the
- * versions: a record that is not newer than what is known changes nothing, so
- * the store and other instances may tell the same things in any order. Records
- * that only repeat what is known, as a heartbeat does, are counted and not kept.
+ * Holds the newest record of each key of one topic, from the store or from other
+ * instances. Offsets serve as versions: a record that is not newer than the known
+ * one changes nothing, so records may arrive in any order. Of a record that
+ * only repeats the known contents, as a heartbeat does, just the offset is kept.
  */
 import type { KeyedRecord } from './keyedLog.js'
 import { eraOf } from './storePosition.js'
 
-/** What one instance tells another that knows everything before an offset. */
-export interface ToldSince {
+/** Records that an instance sends to another that knows everything before the offset `from`. */
+export interface RecordUpdate {
   readonly from: number
   readonly records: readonly KeyedRecord[]
-  /** Everything before this offset is told. */
+  /** The update covers everything before this offset. */
   readonly position: number
-  /** All keys that there are; undefined where the records name every removal. */
+  /** All existing keys; undefined if the records include every removal. */
   readonly keys: readonly string[] | undefined
 }
 
 /** What makes a record newer than another of its key. */
 export enum RecordRanking {
   ByOffset = 'by-offset',
-  /** Contents carry versions; whoever takes a record in decides. */
+  /** Contents carry versions, which the receiver of the record compares. */
   ByContents = 'by-contents'
 }
 
 export class RecordTable {
-  /** The last record of each key that said something new. */
+  /** The last record of each key that changed its contents. */
   private readonly records = new Map<string, KeyedRecord>()
   /** Offset of the last record of each key. */
-  private readonly seen = new Map<string, number>()
-  /** Everything before this offset is known; undefined before the first whole reading. */
+  private readonly lastOffsets = new Map<string, number>()
+  /** Everything before this offset is known; undefined before the first complete read. */
   private known: number | undefined
-  /** No record from this offset on said anything new. */
+  /** No record from this offset on changed any contents. */
   private changedEnd = 0
-  /** Removals before this offset may be unknown here: a whole reading names only what is there. */
-  private removalsFrom = 0
+  /** Removals before this offset may be missing: a complete read returns existing keys only. */
+  private removalsKnownFrom = 0
 
-  /** Keys that a restored store lists although they were removed, until a later record tells. */
-  private readonly leftovers = new Set<string>()
+  /** Removed keys that a restored store lists again, until a later record of the key arrives. */
+  private readonly resurrectedKeys = new Set<string>()
 
-  private constructor (private readonly isNews: (record: KeyedRecord) => boolean, private readonly ranking: RecordRanking) {}
+  private constructor (private readonly onRecord: (record: KeyedRecord) => boolean, private readonly ranking: RecordRanking) {}
 
-  /** @param isNews takes a record in and says whether it changed anything. */
-  static create (isNews: (record: KeyedRecord) => boolean, ranking = RecordRanking.ByOffset): RecordTable {
-    return new RecordTable(isNews, ranking)
+  /** @param onRecord applies a record and returns whether it changed anything. */
+  static create (onRecord: (record: KeyedRecord) => boolean, ranking = RecordRanking.ByOffset): RecordTable {
+    return new RecordTable(onRecord, ranking)
   }
 
-  get isWhole (): boolean {
+  get isComplete (): boolean {
     return this.known !== undefined
   }
 
@@ -55,24 +55,24 @@
     return this.known ?? 0
   }
 
-  /** Who knows everything before this offset lacks nothing that is known here. */
+  /** An instance that knows everything before this offset is up to date with this table. */
   get changed (): number {
     return this.changedEnd
   }
 
-  /** @returns false for a record that is older than what is known of its key. */
-  take (record: KeyedRecord): boolean {
+  /** @returns false for a record that is older than the known one of its key. */
+  applyRecord (record: KeyedRecord): boolean {
     const { key, offset } = record
-    const seen = this.seen.get(key) ?? -1
-    if (offset <= seen && this.ranking === RecordRanking.ByOffset) {
-      return offset === seen
+    const lastOffset = this.lastOffsets.get(key) ?? -1
+    if (offset <= lastOffset && this.ranking === RecordRanking.ByOffset) {
+      return offset === lastOffset
     }
-    const latest = Math.max(offset, seen)
-    this.seen.set(key, latest)
-    this.leftovers.delete(key)
-    // Who heard of the removal must hear that it was undone, though nothing else has changed.
-    const isBack = record.value !== undefined && this.records.has(key) && this.records.get(key)?.value === undefined
-    if (this.isNews(record) || isBack) {
+    const latest = Math.max(offset, lastOffset)
+    this.lastOffsets.set(key, latest)
+    this.resurrectedKeys.delete(key)
+    // Instances that received the removal must also receive its reversal, even if the contents are the same as before it.
+    const isRemovalUndone = record.value !== undefined && this.records.has(key) && this.records.get(key)?.value === undefined
+    if (this.onRecord(record) || isRemovalUndone) {
       this.records.set(key, { ...record, offset: latest })
       this.changedEnd = Math.max(this.changedEnd, latest + 1)
     }
@@ -80,38 +80,39 @@
   }
 
   /**
-   * Takes the newest record of a key from a reading of the whole topic. The copy
-   * that a store was restored from may still have a key that was removed in an
-   * earlier era: only a record after it shows that the key is back.
+   * Applies the newest record of a key from a complete read of the topic. The
+   * backup that a store was restored from may still have a key that was removed in
+   * an earlier era: only a later record shows that the key exists again.
    */
-  takeListed (record: KeyedRecord): boolean {
+  applyListedRecord (record: KeyedRecord): boolean {
     const { key, offset } = record
     const known = this.records.get(key)
-    const isLeftover = known !== undefined && known.value === undefined && eraOf(known.offset) < eraOf(offset)
-    if (!isLeftover) {
-      return this.take(record)
+    const isResurrected = known !== undefined && known.value === undefined && eraOf(known.offset) < eraOf(offset)
+    if (!isResurrected) {
+      return this.applyRecord(record)
     }
-    this.seen.set(key, Math.max(offset, this.seen.get(key) ?? offset))
-    this.leftovers.add(key)
+    this.lastOffsets.set(key, Math.max(offset, this.lastOffsets.get(key) ?? offset))
+    this.resurrectedKeys.add(key)
     return true
   }
 
-  /** Whether later records are waited for that others may not tell, since for them nothing has changed. */
-  get hasLeftovers (): boolean {
-    return this.leftovers.size > 0
+  /** Whether keys await a later record, which other instances may not announce because it changes nothing for them. */
+  get hasResurrectedKeys (): boolean {
+    return this.resurrectedKeys.size > 0
   }
 
   /**
-   * Takes what another instance told one who knows everything before an offset;
-   * says whether it brought this table on. Where the other cannot tell what was
-   * removed meanwhile it names all keys there are. The answer may have been on its way
-   * for long: one that reaches no further than what is known by now may name
-   * keys that were removed since, and nothing would remove them again.
+   * Applies an update of another instance. If that instance does not know every
+   * removal since the update's start, the update lists all existing keys. An update
+   * that was delayed in transit and ends no later than this table's position is
+   * ignored: it may have keys that were removed since, and nothing would remove
+   * them again.
+   * @returns whether the update advanced this table.
    */
-  takeTold ({ from, records, position, keys }: ToldSince): boolean {
+  applyUpdate ({ from, records, position, keys }: RecordUpdate): boolean {
     const isAhead = this.position >= from && position > this.position
     if (isAhead || this.ranking === RecordRanking.ByContents) {
-      records.forEach(record => this.take(record))
+      records.forEach(record => this.applyRecord(record))
     }
     if (!isAhead) {
       return false
@@ -119,43 +120,43 @@
     if (keys) {
       this.retain(new Set(keys), position)
     } else {
-      this.reach(position)
+      this.advanceTo(position)
     }
     return true
   }
 
-  /** Everything before the offset has been told. */
-  reach (offset: number): void {
+  /** Records that everything before the offset is known. */
+  advanceTo (offset: number): void {
     this.known = Math.max(this.known ?? 0, offset)
   }
 
-  /** All keys that there are before the offset: others were removed. */
+  /** Removes all keys but those that exist before the offset `end`. */
   retain (keys: ReadonlySet<string>, end: number): void {
     for (const { key, value } of [...this.records.values()]) {
-      if (value !== undefined && !keys.has(key) && (this.seen.get(key) ?? 0) < end) {
-        this.take({ key, value: undefined, offset: end - 1 })
+      if (value !== undefined && !keys.has(key) && (this.lastOffsets.get(key) ?? 0) < end) {
+        this.applyRecord({ key, value: undefined, offset: end - 1 })
       }
     }
-    this.removalsFrom = Math.max(this.removalsFrom, end)
-    // Whoever knows less has to ask, since a removal may be all that it lacks.
+    this.removalsKnownFrom = Math.max(this.removalsKnownFrom, end)
+    // An instance with an earlier position has to query: a removal may be the only change that it is missing.
     this.changedEnd = Math.max(this.changedEnd, end)
-    this.reach(end)
+    this.advanceTo(end)
   }
 
-  /** What one who knows everything before the offset lacks. */
-  since (offset: number): KeyedRecord[] {
+  /** Changed records from the offset on, for an instance that knows everything before it. */
+  recordsSince (offset: number): KeyedRecord[] {
     return [...this.records.values()].filter(record => record.offset >= offset)
   }
 
-  /** What to tell one who knows everything before the offset. */
-  tellSince (from: number): ToldSince {
+  /** Update for an instance that knows everything before the offset. */
+  createUpdateSince (from: number): RecordUpdate {
     const keys = this.knowsRemovalsSince(from) ? undefined : this.keys
-    return { from, records: this.since(from), position: this.position, keys }
+    return { from, records: this.recordsSince(from), position: this.position, keys }
   }
 
   /** Whether every removal from the offset on is among the records. */
   knowsRemovalsSince (offset: number): boolean {
-    return offset >= this.removalsFrom
+    return offset >= this.removalsKnownFrom
   }
 
   private get keys (): string[] {
--- a/packages/foxtaillever-relay/src/knowledge/startCheck.ts
+++ b/packages/foxtaillever-relay/src/knowledge/startCheck.ts
@@ -1,26 +1,26 @@
 /**
- * Whether an instance that has just started may act by the configuration that it
- * read. A store that was restored from an older copy shows an older one until
- * operators write again; instances that ran before know the newest.
+ * Decides whether an instance that has just started may use the configuration that
+ * it read. A store that was restored from a backup has an older one until operators
+ * write again; instances that ran before have the newest.
  */
 
-/** Others are heard well within this where any are there, milliseconds; beats of a large fleet come each second. */
-const LONGEST_WAIT_MS = 1500
+/** Heartbeats of other instances arrive well within this time, milliseconds: in a large fleet they are sent each second. */
+const MAX_WAIT_MS = 1500
 
-export interface StartBeliefs {
+export interface StartState {
   readonly now: number
-  /** Of the configuration that was read. */
+  /** Revision of the configuration that was read. */
   readonly revision: number
-  /** Of the store; in its first era it was never restored. */
+  /** Era of the store; 0 if it was never restored. */
   readonly era: number
-  /** Revisions that others act by, as far as they were heard. */
-  readonly told: () => readonly number[]
+  /** Revisions in force at the instances whose heartbeats were received. */
+  readonly peerRevisions: () => readonly number[]
 }
 
 export class StartCheck {
-  /** Milliseconds of Unix time; undefined before the first look. */
+  /** Milliseconds of Unix time; undefined before the first check. */
   private waitsUntil: number | undefined
-  private isOver = false
+  private hasPassed = false
 
   private constructor () {}
 
@@ -28,13 +28,13 @@
     return new StartCheck()
   }
 
-  /** Stays true once it was. */
-  isPassed ({ now, revision, era, told }: StartBeliefs): boolean {
-    if (!this.isOver) {
-      this.waitsUntil ??= now + LONGEST_WAIT_MS
-      const highest = Math.max(...told())
-      this.isOver = era === 0 || now >= this.waitsUntil || (highest >= 0 && highest <= revision)
+  /** Stays true after it was true once. */
+  isPassed ({ now, revision, era, peerRevisions }: StartState): boolean {
+    if (!this.hasPassed) {
+      this.waitsUntil ??= now + MAX_WAIT_MS
+      const highest = Math.max(...peerRevisions())
+      this.hasPassed = era === 0 || now >= this.waitsUntil || (highest >= 0 && highest <= revision)
     }
-    return this.isOver
+    return this.hasPassed
   }
 }
--- /dev/null
+++ b/packages/foxtaillever-relay/src/knowledge/storeReplica.ts
@@ -0,0 +1,298 @@
+/**
+ * This instance's replica of the platform's store: operators' records and the
+ * backend servers' entries. Few instances read the store at a time and notify the
+ * others. An instance that receives no notices reads the store itself, and queries
+ * another instance while the store does not answer it.
+ */
+import type { ToldRecords } from '../peers/peerLink.js'
+import type { Positions } from '../peers/peerMessage.js'
+import { limitNews, type ReadNotice, type ReadPosition } from '../peers/readNotice.js'
+import { ToldTopic } from '../peers/toldTopic.js'
+import { FreshnessTracker } from './freshnessTracker.js'
+import type { StoreReplicaOptions } from './storeReplicaOptions.js'
+import { PeerRecordFetcher, type PeerProgress, type PeerAnswer } from './peerRecordFetcher.js'
+import { ReadingLog } from './readingLog.js'
+import { ReadPlans } from './readPlans.js'
+import { RecordRanking, RecordTable, type RecordUpdate } from './recordTable.js'
+import { eraOf } from './storePosition.js'
+import { SuspensionDetector } from './suspensionDetector.js'
+import { TopicFollower } from './topicFollower.js'
+
+/** Between two checks whether another instance is ahead, milliseconds. */
+const CHECK_INTERVAL_MS = 200
+
+/** A read that ended at most this long ago is announced as current, milliseconds. */
+const FRESH_TOLERANCE_MS = 50
+
+/** In this time a live server writes its entry several times, and the entry of a server that has left is removed again, milliseconds. */
+const RESURRECTED_KEYS_MS = 5000
+
+const topics = Object.values(ToldTopic)
+
+const rankings: Readonly<Record<ToldTopic, RecordRanking>> = {
+  [ToldTopic.Operators]: RecordRanking.ByContents,
+  [ToldTopic.Servers]: RecordRanking.ByOffset
+}
+
+interface FollowedTopic {
+  readonly table: RecordTable
+  readonly follower: TopicFollower
+  /** Changes before this offset were announced to or by other instances. */
+  announcedEnd: number
+}
+
+export class StoreReplica {
+  private readonly freshness = FreshnessTracker.create()
+  private readonly plans: ReadPlans
+  private readonly readingLog: ReadingLog
+  private readonly suspensionDetector: SuspensionDetector
+  private readonly followed: Readonly<Record<ToldTopic, FollowedTopic>>
+  private readonly peerFetcher: PeerRecordFetcher
+  private cancelCheck = (): void => {}
+  /** Until this time this instance reads the store itself for heartbeats of resurrected keys, milliseconds of Unix time. */
+  private resurrectedKeysUntil = -Infinity
+  /** The highest known era of the store. */
+  private era = 0
+
+  private constructor (private readonly options: StoreReplicaOptions) {
+    this.plans = ReadPlans.create({ ...options, freshness: this.freshness, servers: () => this.servers.follower })
+    this.readingLog = ReadingLog.create(options.relayLog)
+    this.suspensionDetector = SuspensionDetector.create(options.clock, options.wallSeconds)
+    this.peerFetcher = PeerRecordFetcher.create({ ...options, onAnswer: (topic, answer) => this.handlePeerAnswer(topic, answer) })
+    this.followed = {
+      [ToldTopic.Operators]: this.createFollowedTopic(ToldTopic.Operators),
+      [ToldTopic.Servers]: this.createFollowedTopic(ToldTopic.Servers)
+    }
+  }
+
+  static create (options: StoreReplicaOptions): StoreReplica {
+    return new StoreReplica(options)
+  }
+
+  start (): void {
+    topics.forEach(topic => this.followed[topic].follower.start())
+    this.check()
+  }
+
+  stop (): void {
+    this.cancelCheck()
+    topics.forEach(topic => this.followed[topic].follower.stop())
+  }
+
+  /** Whether both topics are known completely, from the store or from other instances. */
+  get isComplete (): boolean {
+    return topics.every(topic => this.followed[topic].table.isComplete)
+  }
+
+  /** Whether the store answered this instance's last call for servers' entries. */
+  get hasStore (): boolean {
+    return this.servers.follower.isAnswered
+  }
+
+  /** Rises each time the store is restored from a backup. */
+  get storeEra (): number {
+    return Math.max(this.era, this.options.log.era)
+  }
+
+  /** Checks at once whether the store answers, after a call outside this class failed. */
+  checkStore (): void {
+    this.servers.follower.readNow()
+  }
+
+  /** Until this time a missing entry may be written again, milliseconds of Unix time: the store was down for all instances, or was restored. */
+  get removalsDeferredUntil (): number {
+    return this.freshness.removalsDeferredUntil
+  }
+
+  get positions (): Positions {
+    const { operators, servers } = this.followed
+    return { operators: operators.table.position, servers: servers.table.position }
+  }
+
+  /** Update of a topic for an instance that knows everything before an offset. */
+  updateSince (topic: ToldTopic, from: number): ToldRecords {
+    return this.followed[topic].table.createUpdateSince(from)
+  }
+
+  /** Handles the notice of another instance that has read the store. */
+  handleNotice ({ address, isFresh, isWatching, positions, news }: ReadNotice): void {
+    const now = this.options.clock.now()
+    this.freshness.recordWatch(address, isWatching, now)
+    if (isFresh) {
+      // First, because whether a removal is deferred depends on when the store recovered.
+      this.freshness.recordStoreAnswer(now, this.servers.follower.isFailing)
+    }
+    if (news) {
+      this.applyUpdate(news.topic, { ...news, position: positions[news.topic].position, keys: undefined })
+    }
+    this.advanceEra(Math.max(...topics.map(topic => eraOf(positions[topic].position))))
+    topics.forEach(topic => this.handlePeerPosition(topic, positions[topic], address, isFresh ? now : -Infinity))
+    topics.forEach(topic => this.followed[topic].follower.reschedule())
+  }
+
+  private get servers (): FollowedTopic {
+    return this.followed[ToldTopic.Servers]
+  }
+
+  private createFollowedTopic (topic: ToldTopic): FollowedTopic {
+    const { clock, random, log, topics: names, relayLog, onRecord } = this.options
+    const table = RecordTable.create(onRecord[topic], rankings[topic])
+    const follower = TopicFollower.create({
+      ...this.plans.of(topic),
+      clock,
+      random,
+      log,
+      topic: names[topic],
+      hasPeerUpdates: () => this.plans.isFresh,
+      onRecord: record => this.readingLog.noteRecord(topic, table.applyRecord(record)),
+      onListedRecord: record => this.readingLog.noteRecord(topic, table.applyListedRecord(record)),
+      onCompleteRead: (keys, end) => {
+        this.readingLog.logCompleteRead({ topic, end, known: table.position }, keys.size)
+        this.recordEra(topic, end)
+        this.resurrectedKeysUntil = clock.now() + RESURRECTED_KEYS_MS
+        this.handleReading(topic, end, () => table.retain(keys, end))
+      },
+      onAdvanced: end => {
+        this.readingLog.logPartialRead({ topic, end, known: table.position })
+        this.handleReading(topic, end, () => table.advanceTo(end))
+      },
+      onUnreachable: failure => {
+        relayLog.trouble('The platform\'s store does not answer.', { topic, reason: failure.message })
+        this.notifyPeers(undefined)
+      },
+      onRecovered: () => {
+        relayLog.belief('The platform\'s store answers again.', { topic })
+        topics.forEach(other => this.followed[other].follower.reschedule())
+      }
+    })
+    return { table, follower, announcedEnd: 0 }
+  }
+
+  /** Called before records of a later era are applied: entries that they lack may be written again. */
+  private recordEra (topic: ToldTopic, position: number): void {
+    const { table } = this.followed[topic]
+    const era = eraOf(position)
+    if (!table.isComplete) {
+      this.era = Math.max(this.era, era)
+    } else if (topic === ToldTopic.Servers && era > eraOf(table.position)) {
+      this.freshness.recordRestore(this.options.clock.now())
+    }
+  }
+
+  /** Reads everything again once the store was restored from a backup. */
+  private advanceEra (era: number): void {
+    if (era > this.era) {
+      this.options.relayLog.trouble('The platform\'s store was restored from an older copy.', { era, before: this.era })
+      this.era = era
+      this.options.onRestored()
+    }
+    topics.forEach(topic => this.followed[topic].follower.readEra(era))
+  }
+
+  /** Records a successful read up to an offset and notifies the other instances. */
+  private handleReading (topic: ToldTopic, offset: number, advance: () => void): void {
+    const { table, follower } = this.followed[topic]
+    const wasComplete = table.isComplete
+    const from = this.followed[topic].announcedEnd
+    advance()
+    this.followed[topic].announcedEnd = table.changed
+    const update = wasComplete && table.changed > from && table.knowsRemovalsSince(from) ? limitNews({ topic, from, records: table.recordsSince(from) }) : undefined
+    if (topic === ToldTopic.Servers) {
+      this.freshness.markFresh(follower.lastCallAt)
+    }
+    if (topic === ToldTopic.Servers || table.changed > from) {
+      this.notifyPeers(update)
+    }
+  }
+
+  private notifyPeers (news: ReadNotice['news']): void {
+    const { clock, notify } = this.options
+    const { operators, servers } = this.followed
+    notify({
+      isFresh: !servers.follower.isFailing && this.freshness.freshAt + FRESH_TOLERANCE_MS > clock.now(),
+      isWatching: this.hasStore && operators.follower.isAnswered && this.plans.isWatching,
+      positions: { [ToldTopic.Operators]: positionOf(operators), [ToldTopic.Servers]: positionOf(servers) },
+      news
+    })
+  }
+
+  /** Applies an update of another instance. */
+  private applyUpdate (topic: ToldTopic, update: RecordUpdate): void {
+    const followed = this.followed[topic]
+    const { table, follower } = followed
+    this.recordEra(topic, update.position)
+    if (table.applyUpdate(update)) {
+      follower.skipTo(update.position)
+      followed.announcedEnd = table.changed
+    }
+  }
+
+  /** Compares the position of another instance with this one's and fetches what is missing. */
+  private handlePeerPosition (topic: ToldTopic, { position, changed }: ReadPosition, address: string, freshAt: number): void {
+    const { table, follower } = this.followed[topic]
+    if (!table.isComplete) {
+      return
+    }
+    if (table.hasResurrectedKeys && !follower.isFailing && this.options.clock.now() < this.resurrectedKeysUntil) {
+      follower.readNow()
+      return
+    }
+    if (table.position >= changed) {
+      this.applyUpdate(topic, { from: table.position, records: [], position, keys: undefined })
+      if (topic === ToldTopic.Servers) {
+        this.freshness.markFresh(freshAt)
+      }
+      return
+    }
+    const isReadAnew = eraOf(position) > eraOf(table.position)
+    if (follower.isFailing || this.servers.follower.isFailing || (topic === ToldTopic.Servers && !isReadAnew)) {
+      this.peerFetcher.fetchRecords(address, topic, table.position, freshAt)
+    } else if (!follower.isReading) {
+      // The store's connection is faster than an instance's, and a configuration may be large.
+      follower.readNow()
+    }
+  }
+
+  /**
+   * Queries a peer that is ahead. The servers' topic grows with every heartbeat, so a
+   * small lag there is normal while the store is being read.
+   */
+  private fetchMissingRecords (topic: ToldTopic, peers: readonly PeerProgress[]): void {
+    const { table, follower } = this.followed[topic]
+    const isStale = follower.isFailing && !this.plans.isFresh
+    if (!table.isComplete || topic === ToldTopic.Operators || isStale) {
+      this.peerFetcher.fetchFromPeerAhead(topic, table, peers)
+    }
+  }
+
+  private handlePeerAnswer (topic: ToldTopic, answer: PeerAnswer): void {
+    this.applyUpdate(topic, answer)
+    const { freshAt } = answer
+    const { table, follower } = this.followed[topic]
+    if (topic === ToldTopic.Servers && table.isComplete) {
+      this.freshness.markFresh(freshAt)
+      follower.reschedule()
+    }
+  }
+
+  private check (): void {
+    const { clock, relayLog } = this.options
+    const peers = this.options.peers()
+    this.advanceEra(Math.max(this.options.log.era, ...peers.map(({ positions }) => eraOf(positions?.servers ?? 0))))
+    const suspendedMs = this.suspensionDetector.measureSuspendedMs(CHECK_INTERVAL_MS)
+    if (suspendedMs > 0) {
+      relayLog.trouble('This machine stood still; what is known is read again.', { stoodMs: Math.round(suspendedMs) })
+      this.freshness.invalidate()
+      topics.forEach(topic => this.followed[topic].follower.readNow())
+    }
+    // Without recent notices of other instances, a failing store is called sooner.
+    topics.map(topic => this.followed[topic].follower).filter(({ isFailing }) => isFailing).forEach(follower => follower.reschedule())
+    topics.forEach(topic => this.fetchMissingRecords(topic, peers))
+    this.peerFetcher.fetchNewerRouting(this.followed[ToldTopic.Operators].table.position, this.options.revision(), peers)
+    this.cancelCheck = clock.at(clock.now() + CHECK_INTERVAL_MS, () => this.check())
+  }
+}
+
+function positionOf ({ table }: FollowedTopic): ReadPosition {
+  return { position: table.position, changed: table.changed }
+}
--- a/packages/foxtaillever-relay/src/knowledge/knowledgeOptions.ts
+++ b/packages/foxtaillever-relay/src/knowledge/storeReplicaOptions.ts
@@ -1,4 +1,4 @@
-/** What the knowledge of the platform's store is made of. */
+/** Dependencies of the replica of the platform's store. */
 import type { Clock, Random } from 'foxtaillever-core'
 import type { Reader } from 'foxtaillever-policy/relay/readTurn'
 import type { PeerLink } from '../peers/peerLink.js'
@@ -6,28 +6,28 @@
 import type { ToldTopic } from '../peers/toldTopic.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import type { KeyedLog, KeyedRecord } from './keyedLog.js'
-import type { KnowingPeer } from './peerAsking.js'
+import type { PeerProgress } from './peerRecordFetcher.js'
 
-export interface KnowledgeOptions {
+export interface StoreReplicaOptions {
   readonly clock: Clock
   readonly random: Random
-  /** A clock that counts suspension, seconds. */
+  /** A clock that advances during a suspension, seconds. */
   readonly wallSeconds: () => number
   readonly log: KeyedLog
   /** Names of the topics in the store. */
   readonly topics: Readonly<Record<ToldTopic, string>>
   readonly relayLog: RelayLog
   readonly link: () => Pick<PeerLink, 'ask'>
-  readonly peers: () => readonly KnowingPeer[]
-  /** This instance among those that read. */
+  readonly peers: () => readonly PeerProgress[]
+  /** This instance as a reader of the store. */
   readonly self: Reader
-  /** The others that the store answers. */
+  /** Other instances that the store answers. */
   readonly readers: () => readonly Reader[]
-  /** Of the configuration that was taken in last; -1 before the first. */
+  /** Revision of the configuration that was applied last; -1 before the first. */
   readonly revision: () => number
-  /** The store was restored from an older copy. */
+  /** Called when the store was restored from a backup. */
   readonly onRestored: () => void
   readonly notify: (notice: Omit<ReadNotice, 'address'>) => void
-  /** Takes a record in; says whether it changed anything. */
+  /** Applies a record and returns whether it changed anything. */
   readonly onRecord: Readonly<Record<ToldTopic, (record: KeyedRecord) => boolean>>
 }
--- a/packages/foxtaillever-relay/src/knowledge/topicFollower.ts
+++ b/packages/foxtaillever-relay/src/knowledge/topicFollower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows one topic of the platform's store: first the newest record of each
- * key, then what is appended. Calls are priced and limited for all instances
- * together, so it reads only when that is due, or waits at the store, and asks
+ * Follows one topic of the platform's store: reads the newest record of each key
+ * first, then what is appended. Calls cost money and share one rate limit across all
+ * instances, so it reads only when a read is due, or waits at the store, and calls
  * less often while the store does not answer.
  */
 import type { Clock, Failure, Random } from 'foxtaillever-core'
@@ -15,66 +15,66 @@
   readonly topic: string
   /** How long the store may hold the next call until there is a record, milliseconds. */
   readonly waitMs: () => number
-  /** When the topic is to be read next while the store answers, milliseconds of Unix time. */
+  /** When the next read is due while the store answers, milliseconds of Unix time. */
   readonly dueAt: () => number
-  /** No call is made before, whether the last one failed or not, milliseconds of Unix time. */
+  /** No call is made before this time, whether the last one failed or not, milliseconds of Unix time. */
   readonly notBefore: () => number
-  /** Others tell what the store holds, so that a store that does not answer here is asked less often. */
-  readonly isTold: () => boolean
-  /** The store has answered; called before the records of the answer. */
+  /** Whether other instances announce the store's contents; a store that does not answer here is then called less often. */
+  readonly hasPeerUpdates: () => boolean
+  /** Called when the store has answered, before the records of the answer are applied. */
   readonly onAnswered: () => void
   readonly onRecord: (record: KeyedRecord) => void
-  /** The same for the newest record of a key, found by a reading of the whole topic. */
-  readonly onListed: (record: KeyedRecord) => void
-  /** All keys there are, read up to the offset. */
-  readonly onWhole: (keys: ReadonlySet<string>, end: number) => void
-  /** Everything before the offset has been read. */
-  readonly onReached: (offset: number) => void
-  readonly onLost: (failure: Failure) => void
-  readonly onRegained: () => void
+  /** Called for the newest record of each key during a complete read. */
+  readonly onListedRecord: (record: KeyedRecord) => void
+  /** Called after a complete read with all existing keys and the offset up to which they were read. */
+  readonly onCompleteRead: (keys: ReadonlySet<string>, end: number) => void
+  /** Called when everything before the offset has been read. */
+  readonly onAdvanced: (offset: number) => void
+  readonly onUnreachable: (failure: Failure) => void
+  readonly onRecovered: () => void
 }
 
 /** First pause after a call that failed, milliseconds; doubled with each further one. */
-const FIRST_PAUSE_MS = 200
+const INITIAL_PAUSE_MS = 200
 
-/** Longest pause, milliseconds: a store that is back is noticed well within the bounds on drains and configurations. */
-const LONGEST_PAUSE_MS = 1200
+/** Longest pause after a failed call, milliseconds: a recovered store is noticed well within the time limits for drains and configurations. */
+const MAX_PAUSE_MS = 1200
 
-/** Pause while others tell what the store holds, milliseconds: only whether it answers here again is asked. */
-const TOLD_PAUSE_MS = 2000
+/** Pause after a failed call while other instances announce the store's contents, milliseconds: a call only checks whether the store answers again. */
+const PEER_UPDATES_PAUSE_MS = 2000
 
-/** Part of a pause that is drawn, so that instances whose calls failed together do not call together again. */
+/** Random share of a pause, so that instances whose calls failed together do not call together again. */
 const PAUSE_SPREAD = 0.15
 
-/** How long the store may take until it begins to answer with a page of the whole topic, milliseconds; doubled after each failure. */
-const FIRST_PAGE_MS = 700
+/** How long the store may take to begin its answer to a page of a complete read, milliseconds; doubled after each failure. */
+const INITIAL_PAGE_TIMEOUT_MS = 700
 
-/** All instances may read whole at the same time, and the store's rate is shared. */
-const LONGEST_PAGE_MS = 2800
+/** Longest page timeout, milliseconds: all instances may do a complete read at the same time, and share the store's rate limit. */
+const MAX_PAGE_TIMEOUT_MS = 2800
 
-/** Between two calls, milliseconds, should the store not hold them as asked. */
-const LEAST_PAUSE_MS = 20
+/** Between two calls, milliseconds, in case the store does not hold them as requested. */
+const MIN_PAUSE_MS = 20
 
-/** Between two readings anew that are due to another's word on the store's era, milliseconds, should the store not be there yet. */
-const ENTER_PAUSE_MS = 1000
+/** Between two complete reads because of a later era that another instance reported, milliseconds, in case the store is not in that era yet. */
+const ERA_READ_INTERVAL_MS = 1000
 
-/** What is due much later is looked at again after this, milliseconds. */
-const LONGEST_SLEEP_MS = 10_000
+/** Longest sleep before the due time is computed again, milliseconds. */
+const MAX_SLEEP_MS = 10_000
 
 export class TopicFollower {
-  /** Offset of the next record; undefined before the first whole reading. */
+  /** Offset of the next record; undefined while a complete read is needed. */
   private next: number | undefined
   private failures = 0
   private pauseFactor = 1
   private isRunning = false
-  private isWanted = false
+  private isReadRequested = false
   private wake = (): void => {}
-  /** Gives up the call under way, whose answer no longer counts. */
+  /** Abandons the call in flight, whose answer is then ignored. */
   private interrupt = (): void => {}
-  private enteredAt = -Infinity
+  private eraReadAt = -Infinity
   /** When the last call was sent, milliseconds of Unix time. */
-  triedAt = -Infinity
-  /** A call is under way. */
+  lastCallAt = -Infinity
+  /** A call is in flight. */
   isReading = false
 
   private constructor (private readonly options: TopicFollowerOptions) {}
@@ -88,7 +88,7 @@
     return this.failures > 0
   }
 
-  /** The store has answered, and answered the last call. */
+  /** A complete read has succeeded, and so has the last call. */
   get isAnswered (): boolean {
     return this.next !== undefined && this.failures === 0
   }
@@ -103,32 +103,32 @@
     this.wake()
   }
 
-  /** Whoever told records up to there saved a reading. */
+  /** Skips records before the offset, which another instance has sent. */
   skipTo (offset: number): void {
     if (this.next !== undefined && offset > this.next) {
       this.next = offset
     }
   }
 
-  /** The store is in a later era, by another's word: what is known of the topic is read anew, without waiting for a call under way. */
-  enter (era: number): void {
+  /** Starts a complete read if another instance reported a later era of the store, without waiting for a call in flight. */
+  readEra (era: number): void {
     const now = this.options.clock.now()
-    if (this.next !== undefined && eraOf(this.next) < era && now >= this.enteredAt + ENTER_PAUSE_MS) {
-      this.enteredAt = now
+    if (this.next !== undefined && eraOf(this.next) < era && now >= this.eraReadAt + ERA_READ_INTERVAL_MS) {
+      this.eraReadAt = now
       this.next = undefined
       this.interrupt()
       this.wake()
     }
   }
 
-  /** What is due may have changed. */
-  reconsider (): void {
+  /** Computes again when the next read is due. */
+  reschedule (): void {
     this.wake()
   }
 
-  /** Reads as soon as no call is under way. */
+  /** Reads as soon as no call is in flight. */
   readNow (): void {
-    this.isWanted = true
+    this.isReadRequested = true
     this.wake()
   }
 
@@ -137,28 +137,28 @@
     while (this.isRunning) {
       const due = this.nextDueAt()
       if (due > clock.now()) {
-        await this.sleepUntil(Math.min(due, clock.now() + LONGEST_SLEEP_MS))
+        await this.sleepUntil(Math.min(due, clock.now() + MAX_SLEEP_MS))
         continue
       }
-      this.isWanted = false
-      this.triedAt = clock.now()
+      this.isReadRequested = false
+      this.lastCallAt = clock.now()
       this.isReading = true
-      const failure = this.next === undefined ? await this.readWhole() : await this.readOn(this.next)
+      const failure = this.next === undefined ? await this.readAll() : await this.readFrom(this.next)
       this.isReading = false
       if (failure) {
-        this.noteFailure(failure)
+        this.recordFailure(failure)
       }
     }
   }
 
   private nextDueAt (): number {
-    const { dueAt, notBefore, isTold } = this.options
+    const { dueAt, notBefore, hasPeerUpdates } = this.options
     if (this.failures > 0) {
-      const pause = isTold() ? TOLD_PAUSE_MS : Math.min(FIRST_PAUSE_MS * 2 ** (this.failures - 1), LONGEST_PAUSE_MS)
-      return Math.max(notBefore(), this.triedAt + pause * this.pauseFactor)
+      const pause = hasPeerUpdates() ? PEER_UPDATES_PAUSE_MS : Math.min(INITIAL_PAUSE_MS * 2 ** (this.failures - 1), MAX_PAUSE_MS)
+      return Math.max(notBefore(), this.lastCallAt + pause * this.pauseFactor)
     }
-    const isDue = this.next === undefined || this.isWanted
-    return Math.max(notBefore(), this.triedAt + LEAST_PAUSE_MS, isDue ? 0 : dueAt())
+    const isDue = this.next === undefined || this.isReadRequested
+    return Math.max(notBefore(), this.lastCallAt + MIN_PAUSE_MS, isDue ? 0 : dueAt())
   }
 
   private async sleepUntil (deadline: number): Promise<void> {
@@ -172,28 +172,28 @@
     this.wake = () => {}
   }
 
-  private noteFailure (failure: Failure): void {
+  private recordFailure (failure: Failure): void {
     this.failures += 1
     this.pauseFactor = 1 - PAUSE_SPREAD * this.options.random.next()
     if (this.failures === 1) {
-      this.options.onLost(failure)
+      this.options.onUnreachable(failure)
     }
   }
 
-  /** Before the records of the answer are taken in: they are judged by when the store came back. */
-  private noteAnswer (): void {
-    const { onAnswered, onRegained } = this.options
+  /** Called before the records of the answer are applied: whether a removal is deferred depends on when the store recovered. */
+  private recordAnswer (): void {
+    const { onAnswered, onRecovered } = this.options
     onAnswered()
     if (this.failures > 0) {
       this.failures = 0
-      onRegained()
+      onRecovered()
     }
   }
 
-  /** Pages are no snapshot: what changes meanwhile is read again from the first page's end. */
-  private async readWhole (): Promise<Failure | undefined> {
-    const { log, topic, onListed, onWhole } = this.options
-    const answerMs = Math.min(FIRST_PAGE_MS * 2 ** this.failures, LONGEST_PAGE_MS)
+  /** Pages do not form a snapshot: changes during the read are read afterwards, from the end offset of the first page. */
+  private async readAll (): Promise<Failure | undefined> {
+    const { log, topic, onListedRecord, onCompleteRead } = this.options
+    const answerMs = Math.min(INITIAL_PAGE_TIMEOUT_MS * 2 ** this.failures, MAX_PAGE_TIMEOUT_MS)
     const keys = new Set<string>()
     let after = ''
     let end: number | undefined
@@ -202,12 +202,12 @@
       if (page.isLeft()) {
         return page.extract() as Failure
       }
-      this.noteAnswer()
+      this.recordAnswer()
       const { records, hasMore, end: pageEnd } = page.unsafeCoerce()
       end ??= pageEnd
       for (const record of records) {
         keys.add(record.key)
-        onListed(record)
+        onListedRecord(record)
         after = record.key
       }
       if (!hasMore || records.length === 0) {
@@ -215,25 +215,25 @@
       }
     }
     this.next = end
-    onWhole(keys, end)
+    onCompleteRead(keys, end)
     return undefined
   }
 
-  private async readOn (from: number): Promise<Failure | undefined> {
-    const { log, topic, waitMs, onRecord, onReached } = this.options
+  private async readFrom (from: number): Promise<Failure | undefined> {
+    const { log, topic, waitMs, onRecord, onAdvanced } = this.options
     const interrupted = new Promise<undefined>(resolve => { this.interrupt = () => resolve(undefined) })
     const page = await Promise.race([log.read(topic, from, waitMs()), interrupted])
     return page?.caseOf({
       Left: failure => failure,
       Right: ({ records, next, isGap }) => {
-        this.noteAnswer()
+        this.recordAnswer()
         if (isGap) {
           this.next = undefined
           return undefined
         }
         records.forEach(onRecord)
         this.next = Math.max(this.next ?? 0, next)
-        onReached(this.next)
+        onAdvanced(this.next)
         return undefined
       }
     })
--- a/packages/foxtaillever-relay/src/peers/beatContents.ts
+++ b/packages/foxtaillever-relay/src/peers/beatContents.ts
@@ -2,7 +2,7 @@
 import type { Clock } from 'foxtaillever-core'
 import type { CrashSuspects } from '../exchange/crashSuspects.js'
 import type { ExchangeDesk } from '../exchange/exchangeDesk.js'
-import type { Knowledge } from '../knowledge/knowledge.js'
+import type { StoreReplica } from '../knowledge/storeReplica.js'
 import type { OrderOffice } from '../weights/orderOffice.js'
 import type { PeerMessage } from './peerMessage.js'
 import type { OwnWord, Peers } from './peers.js'
@@ -14,7 +14,7 @@
   readonly desk: ExchangeDesk
   readonly suspects: CrashSuspects
   readonly peers: Peers
-  readonly knowledge: Knowledge
+  readonly knowledge: StoreReplica
   readonly office: OrderOffice
   readonly isLeaving: boolean
   /** Of the configuration in force; -1 before the first. */
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -5,9 +5,9 @@
 import { ReadinessServer } from './callers/readinessServer.js'
 import { CrashSuspects } from './exchange/crashSuspects.js'
 import { ExchangeDesk } from './exchange/exchangeDesk.js'
-import { createKnowledge } from './knowledge/createKnowledge.js'
-import type { Knowledge } from './knowledge/knowledge.js'
-import { MemberBook } from './knowledge/memberBook.js'
+import { createStoreReplica } from './knowledge/createStoreReplica.js'
+import type { StoreReplica } from './knowledge/storeReplica.js'
+import { MemberRegistry } from './knowledge/memberRegistry.js'
 import { StartCheck } from './knowledge/startCheck.js'
 import type { Routing } from './model/routing.js'
 import { createOwnWord, takePeerMessage, takeWeightsNotice, type BeatParts } from './peers/beatContents.js'
@@ -48,8 +48,8 @@
   private readonly suspects = CrashSuspects.create()
   private readonly callers: CallerServer
   private readonly readiness: ReadinessServer
-  private readonly knowledge: Knowledge
-  private readonly memberBook: MemberBook
+  private readonly knowledge: StoreReplica
+  private readonly memberBook: MemberRegistry
   private readonly peers: Peers
   private readonly limits: LimitProtocols
   private readonly office: OrderOffice
@@ -93,7 +93,7 @@
     this.peers.nameAll(seeds)
     this.knowledge.start()
     this.desk.caches.watch.start()
-    this.note(this.memberBook.enter())
+    this.note(this.memberBook.register())
     await this.callers.listen(callers.host, callers.port)
     await this.readiness.listen(readiness.host, readiness.port)
     if (metrics) {
@@ -192,7 +192,7 @@
       ...peers,
       word: () => createOwnWord(this.beatParts()),
       lease: () => this.office.lease.news(),
-      tell: (topic, from) => this.knowledge.tell(topic, from),
+      tell: (topic, from) => this.knowledge.updateSince(topic, from),
       onMessage: message => takePeerMessage(this.beatParts(), message),
       ownUses: () => ownUses(this.desk.directory.all()),
       isAskedFor: server => (this.desk.directory.ofHash(server)?.weights.size ?? 0) > 0,
@@ -200,7 +200,7 @@
       onUnreachable: hash => this.desk.hearUnreachable(hash),
       onResting: hash => this.desk.hearResting(hash),
       onPassedOver: peer => this.log.belief('An instance does not answer questions of load; its second is asked.', { peer }),
-      onNotice: notice => this.knowledge.hear(notice),
+      onNotice: notice => this.knowledge.handleNotice(notice),
       onWeights: notice => takeWeightsNotice(this.office, notice),
       onLeaseCall: (request, search, response) => this.lendLease(request, search, response),
       onLimit: message => this.limits[message.scope].hear(message),
@@ -209,8 +209,8 @@
     })
   }
 
-  private createKnowledge (): Knowledge {
-    return createKnowledge({
+  private createKnowledge (): StoreReplica {
+    return createStoreReplica({
       ...this.options,
       relayLog: this.log,
       directory: this.desk.directory,
@@ -218,7 +218,7 @@
       revision: () => this.revision,
       onRouting: routing => this.adopt(routing),
       onWeights: (model, version, isStart) => this.office.desk.name(model, version, isStart),
-      onRestored: () => this.note(this.memberBook.enterAgain())
+      onRestored: () => this.note(this.memberBook.registerAgain())
     })
   }
 
@@ -227,16 +227,16 @@
     work.catch((error: unknown) => this.log.trouble('Work in the background failed.', { reason: String(error) }))
   }
 
-  private createMemberBook (): MemberBook {
+  private createMemberBook (): MemberRegistry {
     const { clock, random, log, topics, name } = this.options
-    return MemberBook.create({
+    return MemberRegistry.create({
       clock,
       random,
       log,
       topic: topics.members,
       name,
       address: this.peers.address,
-      onFirstLife: () => this.desk.retries.observeFirstLife(),
+      onFirstIncarnation: () => this.desk.retries.observeFirstLife(),
       onAddresses: addresses => this.meet(addresses),
       isLeaving: () => this.isLeaving
     })
@@ -251,7 +251,7 @@
       peers,
       log,
       isFit: () => this.knowledge.hasStore && !this.isLeaving,
-      onStoreFailed: () => this.knowledge.doubt()
+      onStoreFailed: () => this.knowledge.checkStore()
     })
   }
 
@@ -275,7 +275,7 @@
   }
 
   private isReady (): boolean {
-    return !this.isLeaving && this.knowledge.isWhole && this.usableTable() !== undefined
+    return !this.isLeaving && this.knowledge.isComplete && this.usableTable() !== undefined
   }
 
   private get revision (): number {
@@ -284,7 +284,7 @@
 
   /** Callers are not answered by a configuration that others know to be replaced. */
   private usableTable (): RouteTable | undefined {
-    const beliefs = { now: this.options.clock.now(), revision: this.revision, era: this.knowledge.storeEra, told: () => this.peers.alive().map(({ revision }) => revision) }
+    const beliefs = { now: this.options.clock.now(), revision: this.revision, era: this.knowledge.storeEra, peerRevisions: () => this.peers.alive().map(({ revision }) => revision) }
     return this.table && this.startCheck.isPassed(beliefs) ? this.table : undefined
   }
 
--- a/packages/foxtaillever-relay/src/telemetry/relayState.ts
+++ b/packages/foxtaillever-relay/src/telemetry/relayState.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from 'foxtaillever-core'
 import type { Metrics, Subject } from 'foxtaillever-telemetry'
-import type { Knowledge } from '../knowledge/knowledge.js'
+import type { StoreReplica } from '../knowledge/storeReplica.js'
 import { formatPosition } from '../knowledge/storePosition.js'
 import type { Routing } from '../model/routing.js'
 import type { Peers } from '../peers/peers.js'
@@ -19,7 +19,7 @@
   readonly routing: () => Routing | undefined
   readonly directory: ServerDirectory
   readonly peers: () => Peers
-  readonly knowledge: () => Knowledge
+  readonly knowledge: () => StoreReplica
   readonly lease: () => OrderLease
   /** Requests that are not answered yet. */
   readonly open: () => number
--- a/packages/foxtaillever-relay/src/weights/orderOffice.ts
+++ b/packages/foxtaillever-relay/src/weights/orderOffice.ts
@@ -1,6 +1,6 @@
 /** The parts of an instance by which it may give orders to engines: the lease and the desk. */
 import { randomUUID } from 'node:crypto'
-import { readWallSeconds } from '../knowledge/suspension.js'
+import { readWallClockSeconds } from '../knowledge/suspensionDetector.js'
 import type { Peers } from '../peers/peers.js'
 import type { RelayOptions } from '../relayOptions.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
@@ -61,7 +61,7 @@
   })
   return OrderLease.create({
     clock,
-    uptime: readWallSeconds,
+    uptime: readWallClockSeconds,
     log: lentLog,
     topic,
     holder: name,
