--- a/packages/foxtaillever-relay/src/routing/routeTable.ts
+++ b/packages/foxtaillever-relay/src/routing/routeTable.ts
@@ -1,4 +1,4 @@
-/** Finds the route of a request and the account of its key in one version of the configuration. */
+/** Finds the route of a request and the account of its API key in one revision of the configuration. */
 import { Failure, FailureCode, type Random } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
 import type { RelayAccount, Route, Routing } from '../model/routing.js'
@@ -19,7 +19,7 @@
       this.byHost.set(route.host, routes)
     }
     // The longest prefix first, so that the first match is the most specific.
-    this.byHost.forEach(routes => routes.sort((one, other) => other.pathPrefix.length - one.pathPrefix.length))
+    this.byHost.forEach(routes => routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length))
     for (const account of routing.accounts) {
       account.apiKeys.forEach(key => this.byKey.set(key, account))
     }
@@ -32,10 +32,10 @@
   find (host: string, target: string): Either<Failure, Route> {
     const path = pathOf(target)
     const route = this.byHost.get(host.toLowerCase())?.find(({ pathPrefix }) => path.startsWith(pathPrefix))
-    return route ? Right(route) : Left(Failure.notRun(FailureCode.UnknownRoute, 'No route leads there.'))
+    return route ? Right(route) : Left(Failure.notRun(FailureCode.UnknownRoute, 'No route matches the host and path of the request.'))
   }
 
-  /** The account whose key it is; none on a public route. */
+  /** Finds the account of the API key; none on a public route, or if the configuration has no accounts. */
   authenticate (route: Route, apiKey: string | undefined): Either<Failure, RelayAccount | undefined> {
     if (route.isPublic || this.routing.accounts.length === 0) {
       return Right(undefined)
@@ -45,7 +45,7 @@
   }
 }
 
-/** Draws a service of the route by the weights of its targets. */
+/** Selects a service of the route at random, in proportion to the weights of its targets. */
 export function drawService ({ targets }: Route, random: Random): string {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0)
   let left = random.next() * total
