--- a/packages/foxtaillever-relay/src/knowledge/__fixtures__/fakeFleet.ts
+++ b/packages/foxtaillever-relay/src/knowledge/__fixtures__/fakeFleet.ts
@@ -159,7 +159,7 @@
     return this.instances.find(instance => instance.name === name) as FakeInstance
   }
 
-  /** An instance starts. */
+  /** Starts another instance. */
   add (name: string): FakeInstance {
     const instance = this.create(name, `domain-${this.instances.length % 3}`)
     this.instances.push(instance)
--- a/packages/foxtaillever-relay/src/knowledge/peerRecordFetcher.ts
+++ b/packages/foxtaillever-relay/src/knowledge/peerRecordFetcher.ts
@@ -38,8 +38,8 @@
   }
 
   /** Queries a random instance that is ahead; before the first complete read, also instances whose positions are unknown. */
-  fetchFromPeerAhead (topic: ToldTopic, { isComplete: isWhole, position }: RecordTable, peers: readonly PeerProgress[]): void {
-    const ahead = peers.filter(({ positions }) => positions === undefined ? !isWhole : positions[topic] > position)
+  fetchFromPeerAhead (topic: ToldTopic, { isComplete, position }: RecordTable, peers: readonly PeerProgress[]): void {
+    const ahead = peers.filter(({ positions }) => positions === undefined ? !isComplete : positions[topic] > position)
     this.fetchFromRandomPeer(ahead, topic, position)
   }
 
--- a/packages/foxtaillever-relay/src/knowledge/storeReplica.ts
+++ b/packages/foxtaillever-relay/src/knowledge/storeReplica.ts
@@ -244,8 +244,8 @@
       }
       return
     }
-    const isReadAnew = eraOf(position) > eraOf(table.position)
-    if (follower.isFailing || this.servers.follower.isFailing || (topic === ToldTopic.Servers && !isReadAnew)) {
+    const isLaterEra = eraOf(position) > eraOf(table.position)
+    if (follower.isFailing || this.servers.follower.isFailing || (topic === ToldTopic.Servers && !isLaterEra)) {
       this.peerFetcher.fetchRecords(address, topic, table.position, freshAt)
     } else if (!follower.isReading) {
       // The store's connection is faster than an instance's, and a configuration may be large.
