--- a/packages/foxtaillever-relay/src/bench/controlCost.ts
+++ b/packages/foxtaillever-relay/src/bench/controlCost.ts
@@ -7,9 +7,9 @@
 import { ComputedWatchers } from 'foxtaillever-policy/relay/computedWatchers'
 import { rankOffers, type PlacementNeed, type ServerOffer } from 'foxtaillever-policy/relay/placeExchange'
 import { unpackDatagram } from '../peers/datagram.js'
-import { FleetUse } from '../peers/fleetUse.js'
+import { FleetLoad } from '../peers/fleetLoad.js'
 import { encodeLoadMessage, readLoadMessage } from '../peers/loadMessage.js'
-import { LoadTalk } from '../peers/loadTalk.js'
+import { LoadProtocol } from '../peers/loadProtocol.js'
 import { encodePeerMessage, readPeerMessage, type PeerMessage, type ServerUse } from '../peers/peerMessage.js'
 import { PeerTable } from '../peers/peerTable.js'
 import { LimitOwners } from '../limits/limitOwners.js'
@@ -80,9 +80,9 @@
   }
 }
 
-function createTalk (watchers: ComputedWatchers, address: string): LoadTalk {
-  return LoadTalk.create({
-    clock, address, use: FleetUse.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), own: () => [], isAskedFor: () => true, onSaved: () => {}, onUnreachable: () => {}, onResting: () => {}, onPassedOver: () => {}
+function createTalk (watchers: ComputedWatchers, address: string): LoadProtocol {
+  return LoadProtocol.create({
+    clock, address, use: FleetLoad.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), own: () => [], isQueried: () => true, onSaved: () => {}, onUnreachable: () => {}, onBackingOff: () => {}, onUnresponsive: () => {}
   })
 }
 
@@ -132,27 +132,27 @@
     let turn = 0
     return () => {
       const bytes = beats[turn++ % beats.length] ?? Buffer.alloc(0)
-      unpackDatagram(bytes).chain(readPeerMessage).ifJust(message => table.hear(message, clock.now()))
+      unpackDatagram(bytes).chain(readPeerMessage).ifJust(message => table.recordMessage(message, clock.now()))
     }
   },
   'word heard, question answered': ({ addresses: [address = '', other = '', ...others], servers: [server = 0] }) => {
     const watchers = ComputedWatchers.create()
     watchers.setMembers([address, other, ...others])
     const talk = createTalk(watchers, address)
-    const word = encodeLoadMessage({ kind: 11, address: other, loads: [useOf(server, 1)], unreachable: [], saved: [], resting: [] })
+    const word = encodeLoadMessage({ kind: 11, address: other, loads: [useOf(server, 1)], unreachable: [], saved: [], backingOff: [] })
     const question = encodeLoadMessage({ kind: 12, address: other, number: 1, servers: [server], levels: [7] })
-    return () => [word, question].forEach(bytes => unpackDatagram(bytes).chain(readLoadMessage).ifJust(message => talk.hear(message)))
+    return () => [word, question].forEach(bytes => unpackDatagram(bytes).chain(readLoadMessage).ifJust(message => talk.handleMessage(message)))
   },
   'look, with five requests under way': ({ addresses: [address = '', ...others], servers }) => {
     const watchers = ComputedWatchers.create()
     watchers.setMembers([address, ...others])
     let outstanding = 0
-    const talk = LoadTalk.create({
-      clock, address, use: FleetUse.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), own: () => servers.slice(0, OPEN).map(server => useOf(server, 1 + outstanding % 2)), isAskedFor: () => true, onSaved: () => {}, onUnreachable: () => {}, onResting: () => {}, onPassedOver: () => {}
+    const talk = LoadProtocol.create({
+      clock, address, use: FleetLoad.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), own: () => servers.slice(0, OPEN).map(server => useOf(server, 1 + outstanding % 2)), isQueried: () => true, onSaved: () => {}, onUnreachable: () => {}, onBackingOff: () => {}, onUnresponsive: () => {}
     })
     return () => {
       outstanding += 1
-      talk.follow()
+      talk.handleHeartbeat()
     }
   },
   'quota asked, decided and answered, 1,700 accounts in turn': ({ addresses }) => {
@@ -169,7 +169,7 @@
       send: (to, message) => { unpackDatagram(encodeLimitMessage(message)).chain(readLimitMessage).ifJust(heard => protocols[ranked.indexOf(to)]?.hear(heard)) },
       onMet: () => {},
       onDecided: () => {},
-      onPassedOver: () => {}
+      onUnresponsive: () => {}
     }))
     let turn = 0
     return () => { protocols[1]?.claim({ key: `account-${turn++ % ACCOUNTS}`, limit: { perSecond: 1e9, burst: 1e9, revision: 1 }, cost: 9190 }, () => {}) }
--- a/packages/foxtaillever-relay/src/exchange/exchangeDesk.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDesk.ts
@@ -14,7 +14,7 @@
 import type { Routing } from '../model/routing.js'
 import { ServerLimits, type ServerLimitsOptions } from '../limits/serverLimits.js'
 import type { ServerWire } from '../model/wire.js'
-import type { LevelAtHome, LoadWish } from '../peers/loadQuestions.js'
+import type { LevelAtHome, LoadQuery } from '../peers/loadQueryClient.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import { ServerChoice, type AskedServers, type ServerChoiceOptions } from '../servers/serverChoice.js'
 import { ServerDirectory } from '../servers/serverDirectory.js'
@@ -34,7 +34,7 @@
   readonly log: RelayLog
   readonly retryAllowance: RetryAllowance
   /** Asks what other instances know of the servers that a prompt's choice comes down to, and tells which; undefined where it is known. Never fails. */
-  readonly askLoad: (wish: () => LoadWish) => Promise<AskedServers> | undefined
+  readonly askLoad: (wish: () => LoadQuery) => Promise<AskedServers> | undefined
   /** The configuration in force; undefined until one is known. */
   readonly routing: () => Routing | undefined
   /** A server asked this instance for rest. */
--- a/packages/foxtaillever-relay/src/knowledge/__fixtures__/fakeFleet.ts
+++ b/packages/foxtaillever-relay/src/knowledge/__fixtures__/fakeFleet.ts
@@ -3,9 +3,9 @@
 import type { VirtualClock } from 'foxtaillever-testing'
 import { Left, Right, type Either } from 'purify-ts'
 import { Logs } from 'foxtaillever-telemetry'
-import type { ToldRecords } from '../../peers/peerLink.js'
+import type { AnnouncedRecords } from '../../peers/peerLink.js'
 import type { ReadNotice } from '../../peers/readNotice.js'
-import { ToldTopic } from '../../peers/toldTopic.js'
+import { AnnouncedTopic } from '../../peers/announcedTopic.js'
 import { RelayLog } from '../../telemetry/relayLog.js'
 import type { KeyedLog, KeyedRecord, NewestPage, RecordPage } from '../keyedLog.js'
 import { Knowledge } from '../knowledge.js'
@@ -201,9 +201,9 @@
       random: SeededRandom.create(7),
       wallSeconds: this.wallSeconds,
       log: this.store.of(name),
-      topics: { [ToldTopic.Operators]: 'operators', [ToldTopic.Servers]: 'servers' },
+      topics: { [AnnouncedTopic.Operators]: 'operators', [AnnouncedTopic.Servers]: 'servers' },
       relayLog: RelayLog.create(Logs.create({ instance: name, level: 'silent', clock })),
-      link: () => ({ ask: async (address, topic, from) => this.cut.has(name) ? Left(unanswered) : this.ask(address, topic, from) }),
+      link: () => ({ fetchRecords: async (address, topic, from) => this.cut.has(name) ? Left(unanswered) : this.ask(address, topic, from) }),
       peers: () => others().map(other => ({ address: other.name, positions: other.knowledge.positions, revision: revisionOf(other.beliefs) })),
       revision: () => revisionOf(beliefs),
       onRestored: () => {},
@@ -211,8 +211,8 @@
       readers: () => others().filter(other => this.answered.has(other.name)).map(other => ({ name: other.name, failureDomain: `domain-${this.instances.indexOf(other) % 3}` })),
       notify: notice => this.deliver(name, { ...notice, address: name }),
       onRecord: {
-        [ToldTopic.Operators]: record => record.value === undefined ? false : take(record),
-        [ToldTopic.Servers]: take
+        [AnnouncedTopic.Operators]: record => record.value === undefined ? false : take(record),
+        [AnnouncedTopic.Servers]: take
       }
     })
     return { name, knowledge, beliefs, learnedAt, isAlive: true }
@@ -224,7 +224,7 @@
     }
   }
 
-  private async ask (address: string, topic: ToldTopic, from: number): Promise<Either<Failure, ToldRecords>> {
+  private async ask (address: string, topic: AnnouncedTopic, from: number): Promise<Either<Failure, AnnouncedRecords>> {
     const other = this.get(address)
     return other.isAlive ? Right(other.knowledge.tell(topic, from)) : Left(unanswered)
   }
--- a/packages/foxtaillever-relay/src/knowledge/createKnowledge.ts
+++ b/packages/foxtaillever-relay/src/knowledge/createKnowledge.ts
@@ -1,7 +1,7 @@
 /** The knowledge of the platform's store among the parts of an instance: what it reads goes into the directory, the routes and the weights. */
 import type { Routing } from '../model/routing.js'
 import type { Peers } from '../peers/peers.js'
-import { ToldTopic } from '../peers/toldTopic.js'
+import { AnnouncedTopic } from '../peers/announcedTopic.js'
 import type { RelayOptions } from '../relayOptions.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -43,15 +43,15 @@
     wallSeconds: readWallSeconds,
     self: { name, failureDomain },
     readers: () => peers.likely().filter(({ hasStore }) => hasStore),
-    notify: notice => peers.notify(notice),
+    notify: notice => peers.announceReading(notice),
     log,
-    topics: { [ToldTopic.Operators]: topics.operators, [ToldTopic.Servers]: topics.servers },
+    topics: { [AnnouncedTopic.Operators]: topics.operators, [AnnouncedTopic.Servers]: topics.servers },
     relayLog,
     link: () => peers.link,
-    peers: () => peers.table.all().map(({ address, last }) => ({ address, positions: last?.positions, revision: last?.revision ?? -1 })),
+    peers: () => peers.table.all().map(({ address, lastMessage }) => ({ address, positions: lastMessage?.positions, revision: lastMessage?.revision ?? -1 })),
     revision,
     onRestored,
-    onRecord: { [ToldTopic.Operators]: record => intake.takeOperators(record), [ToldTopic.Servers]: record => intake.takeServer(record) }
+    onRecord: { [AnnouncedTopic.Operators]: record => intake.takeOperators(record), [AnnouncedTopic.Servers]: record => intake.takeServer(record) }
   })
   return knowledge
 }
--- a/packages/foxtaillever-relay/src/knowledge/knowledge.ts
+++ b/packages/foxtaillever-relay/src/knowledge/knowledge.ts
@@ -4,10 +4,10 @@
  * tell the others; each reads for itself when it hears of no reading, and asks
  * another instance while the store does not answer it.
  */
-import type { ToldRecords } from '../peers/peerLink.js'
+import type { AnnouncedRecords } from '../peers/peerLink.js'
 import type { Positions } from '../peers/peerMessage.js'
-import { limitNews, type ReadNotice, type ReadPosition } from '../peers/readNotice.js'
-import { ToldTopic } from '../peers/toldTopic.js'
+import { limitNewRecords, type ReadNotice, type ReadPosition } from '../peers/readNotice.js'
+import { AnnouncedTopic } from '../peers/announcedTopic.js'
 import { Freshness } from './freshness.js'
 import type { KnowledgeOptions } from './knowledgeOptions.js'
 import { PeerAsking, type KnowingPeer, type PeerAnswer } from './peerAsking.js'
@@ -27,11 +27,11 @@
 /** A server that lives writes its entry several times in this, one that has left is removed again, milliseconds. */
 const LEFTOVERS_MS = 5000
 
-const topics = Object.values(ToldTopic)
+const topics = Object.values(AnnouncedTopic)
 
-const rankings: Readonly<Record<ToldTopic, RecordRanking>> = {
-  [ToldTopic.Operators]: RecordRanking.ByContents,
-  [ToldTopic.Servers]: RecordRanking.ByOffset
+const rankings: Readonly<Record<AnnouncedTopic, RecordRanking>> = {
+  [AnnouncedTopic.Operators]: RecordRanking.ByContents,
+  [AnnouncedTopic.Servers]: RecordRanking.ByOffset
 }
 
 interface Followed {
@@ -46,7 +46,7 @@
   private readonly plans: ReadPlans
   private readonly readings: ReadingLog
   private readonly suspension: Suspension
-  private readonly followed: Readonly<Record<ToldTopic, Followed>>
+  private readonly followed: Readonly<Record<AnnouncedTopic, Followed>>
   private readonly asking: PeerAsking
   private cancelLook = (): void => {}
   /** Until then heartbeats of servers that a restored store lists are read here, milliseconds of Unix time. */
@@ -60,8 +60,8 @@
     this.suspension = Suspension.create(options.clock, options.wallSeconds)
     this.asking = PeerAsking.create({ ...options, onAnswer: (topic, answer) => this.takeAnswer(topic, answer) })
     this.followed = {
-      [ToldTopic.Operators]: this.follow(ToldTopic.Operators),
-      [ToldTopic.Servers]: this.follow(ToldTopic.Servers)
+      [AnnouncedTopic.Operators]: this.follow(AnnouncedTopic.Operators),
+      [AnnouncedTopic.Servers]: this.follow(AnnouncedTopic.Servers)
     }
   }
 
@@ -110,12 +110,12 @@
   }
 
   /** What this instance knows of a topic from an offset on. */
-  tell (topic: ToldTopic, from: number): ToldRecords {
+  tell (topic: AnnouncedTopic, from: number): AnnouncedRecords {
     return this.followed[topic].table.tellSince(from)
   }
 
   /** Another instance has read the store. */
-  hear ({ address, isFresh, isWatching, positions, news }: ReadNotice): void {
+  hear ({ address, isFresh, isWatching, positions, newRecords: news }: ReadNotice): void {
     const now = this.options.clock.now()
     this.freshness.noteWatch(address, isWatching, now)
     if (isFresh) {
@@ -131,10 +131,10 @@
   }
 
   private get servers (): Followed {
-    return this.followed[ToldTopic.Servers]
+    return this.followed[AnnouncedTopic.Servers]
   }
 
-  private follow (topic: ToldTopic): Followed {
+  private follow (topic: AnnouncedTopic): Followed {
     const { clock, random, log, topics: names, relayLog, onRecord } = this.options
     const table = RecordTable.create(onRecord[topic], rankings[topic])
     const follower = TopicFollower.create({
@@ -169,12 +169,12 @@
   }
 
   /** Before records of a later era are taken in: entries that these lack may be written again. */
-  private noteEra (topic: ToldTopic, position: number): void {
+  private noteEra (topic: AnnouncedTopic, position: number): void {
     const { table } = this.followed[topic]
     const era = eraOf(position)
     if (!table.isWhole) {
       this.era = Math.max(this.era, era)
-    } else if (topic === ToldTopic.Servers && era > eraOf(table.position)) {
+    } else if (topic === AnnouncedTopic.Servers && era > eraOf(table.position)) {
       this.freshness.noteRestored(this.options.clock.now())
     }
   }
@@ -190,34 +190,34 @@
   }
 
   /** The store has told everything before an offset; the others are told in turn. */
-  private noteRead (topic: ToldTopic, offset: number, reach: () => void): void {
+  private noteRead (topic: AnnouncedTopic, offset: number, reach: () => void): void {
     const { table, follower } = this.followed[topic]
     const wasWhole = table.isWhole
     const from = this.followed[topic].toldTo
     reach()
     this.followed[topic].toldTo = table.changed
-    const news = wasWhole && table.changed > from && table.knowsRemovalsSince(from) ? limitNews({ topic, from, records: table.since(from) }) : undefined
-    if (topic === ToldTopic.Servers) {
+    const news = wasWhole && table.changed > from && table.knowsRemovalsSince(from) ? limitNewRecords({ topic, from, records: table.since(from) }) : undefined
+    if (topic === AnnouncedTopic.Servers) {
       this.freshness.note(follower.triedAt)
     }
-    if (topic === ToldTopic.Servers || table.changed > from) {
+    if (topic === AnnouncedTopic.Servers || table.changed > from) {
       this.notify(news)
     }
   }
 
-  private notify (news: ReadNotice['news']): void {
+  private notify (news: ReadNotice['newRecords']): void {
     const { clock, notify } = this.options
     const { operators, servers } = this.followed
     notify({
       isFresh: !servers.follower.isFailing && this.freshness.freshAt + JUST_NOW_MS > clock.now(),
       isWatching: this.hasStore && operators.follower.isAnswered && this.plans.isWatching,
-      positions: { [ToldTopic.Operators]: positionOf(operators), [ToldTopic.Servers]: positionOf(servers) },
-      news
+      positions: { [AnnouncedTopic.Operators]: positionOf(operators), [AnnouncedTopic.Servers]: positionOf(servers) },
+      newRecords: news
     })
   }
 
   /** Records of another instance, for one who knows everything before an offset. */
-  private takeTold (topic: ToldTopic, told: ToldSince): void {
+  private takeTold (topic: AnnouncedTopic, told: ToldSince): void {
     const followed = this.followed[topic]
     const { table, follower } = followed
     this.noteEra(topic, told.position)
@@ -228,7 +228,7 @@
   }
 
   /** How far another instance is: nothing is lacking here, or it is fetched. */
-  private hearPosition (topic: ToldTopic, { position, changed }: ReadPosition, address: string, freshAt: number): void {
+  private hearPosition (topic: AnnouncedTopic, { position, changed }: ReadPosition, address: string, freshAt: number): void {
     const { table, follower } = this.followed[topic]
     if (!table.isWhole) {
       return
@@ -239,13 +239,13 @@
     }
     if (table.position >= changed) {
       this.takeTold(topic, { from: table.position, records: [], position, keys: undefined })
-      if (topic === ToldTopic.Servers) {
+      if (topic === AnnouncedTopic.Servers) {
         this.freshness.note(freshAt)
       }
       return
     }
     const isReadAnew = eraOf(position) > eraOf(table.position)
-    if (follower.isFailing || this.servers.follower.isFailing || (topic === ToldTopic.Servers && !isReadAnew)) {
+    if (follower.isFailing || this.servers.follower.isFailing || (topic === AnnouncedTopic.Servers && !isReadAnew)) {
       this.asking.ask(address, topic, table.position, freshAt)
     } else if (!follower.isReading) {
       // The store's connection is faster than an instance's, and a configuration may be large.
@@ -257,19 +257,19 @@
    * Asks a peer that is ahead. The servers' topic moves with every heartbeat, so
    * being a little behind there means nothing while readings go on.
    */
-  private askWhereLacking (topic: ToldTopic, peers: readonly KnowingPeer[]): void {
+  private askWhereLacking (topic: AnnouncedTopic, peers: readonly KnowingPeer[]): void {
     const { table, follower } = this.followed[topic]
     const isStale = follower.isFailing && !this.plans.isFresh
-    if (!table.isWhole || topic === ToldTopic.Operators || isStale) {
+    if (!table.isWhole || topic === AnnouncedTopic.Operators || isStale) {
       this.asking.askAhead(topic, table, peers)
     }
   }
 
-  private takeAnswer (topic: ToldTopic, answer: PeerAnswer): void {
+  private takeAnswer (topic: AnnouncedTopic, answer: PeerAnswer): void {
     this.takeTold(topic, answer)
     const { freshAt } = answer
     const { table, follower } = this.followed[topic]
-    if (topic === ToldTopic.Servers && table.isWhole) {
+    if (topic === AnnouncedTopic.Servers && table.isWhole) {
       this.freshness.note(freshAt)
       follower.reconsider()
     }
@@ -288,7 +288,7 @@
     // Once nobody tells any more, a store that did not answer is asked sooner.
     topics.map(topic => this.followed[topic].follower).filter(({ isFailing }) => isFailing).forEach(follower => follower.reconsider())
     topics.forEach(topic => this.askWhereLacking(topic, peers))
-    this.asking.askForNewerRouting(this.followed[ToldTopic.Operators].table.position, this.options.revision(), peers)
+    this.asking.askForNewerRouting(this.followed[AnnouncedTopic.Operators].table.position, this.options.revision(), peers)
     this.cancelLook = clock.at(clock.now() + LOOK_MS, () => this.look())
   }
 }
--- a/packages/foxtaillever-relay/src/knowledge/knowledgeOptions.ts
+++ b/packages/foxtaillever-relay/src/knowledge/knowledgeOptions.ts
@@ -3,7 +3,7 @@
 import type { Reader } from 'foxtaillever-policy/relay/readTurn'
 import type { PeerLink } from '../peers/peerLink.js'
 import type { ReadNotice } from '../peers/readNotice.js'
-import type { ToldTopic } from '../peers/toldTopic.js'
+import type { AnnouncedTopic } from '../peers/announcedTopic.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import type { KeyedLog, KeyedRecord } from './keyedLog.js'
 import type { KnowingPeer } from './peerAsking.js'
@@ -15,9 +15,9 @@
   readonly wallSeconds: () => number
   readonly log: KeyedLog
   /** Names of the topics in the store. */
-  readonly topics: Readonly<Record<ToldTopic, string>>
+  readonly topics: Readonly<Record<AnnouncedTopic, string>>
   readonly relayLog: RelayLog
-  readonly link: () => Pick<PeerLink, 'ask'>
+  readonly link: () => Pick<PeerLink, 'fetchRecords'>
   readonly peers: () => readonly KnowingPeer[]
   /** This instance among those that read. */
   readonly self: Reader
@@ -29,5 +29,5 @@
   readonly onRestored: () => void
   readonly notify: (notice: Omit<ReadNotice, 'address'>) => void
   /** Takes a record in; says whether it changed anything. */
-  readonly onRecord: Readonly<Record<ToldTopic, (record: KeyedRecord) => boolean>>
+  readonly onRecord: Readonly<Record<AnnouncedTopic, (record: KeyedRecord) => boolean>>
 }
--- a/packages/foxtaillever-relay/src/knowledge/peerAsking.ts
+++ b/packages/foxtaillever-relay/src/knowledge/peerAsking.ts
@@ -2,7 +2,7 @@
 import type { Random } from 'foxtaillever-core'
 import type { PeerLink } from '../peers/peerLink.js'
 import type { Positions } from '../peers/peerMessage.js'
-import { ToldTopic } from '../peers/toldTopic.js'
+import { AnnouncedTopic } from '../peers/announcedTopic.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import type { RecordTable, ToldSince } from './recordTable.js'
 import { formatPosition } from './storePosition.js'
@@ -24,12 +24,12 @@
 export interface PeerAskingOptions {
   readonly random: Random
   readonly relayLog: RelayLog
-  readonly link: () => Pick<PeerLink, 'ask'>
-  readonly onAnswer: (topic: ToldTopic, answer: PeerAnswer) => void
+  readonly link: () => Pick<PeerLink, 'fetchRecords'>
+  readonly onAnswer: (topic: AnnouncedTopic, answer: PeerAnswer) => void
 }
 
 export class PeerAsking {
-  private readonly open = new Set<ToldTopic>()
+  private readonly open = new Set<AnnouncedTopic>()
 
   private constructor (private readonly options: PeerAskingOptions) {}
 
@@ -38,7 +38,7 @@
   }
 
   /** Asks one of those that are ahead, or any that was never heard while nothing is known yet. */
-  askAhead (topic: ToldTopic, { isWhole, position }: RecordTable, peers: readonly KnowingPeer[]): void {
+  askAhead (topic: AnnouncedTopic, { isWhole, position }: RecordTable, peers: readonly KnowingPeer[]): void {
     const ahead = peers.filter(({ positions }) => positions === undefined ? !isWhole : positions[topic] > position)
     this.askOne(ahead, topic, position)
   }
@@ -49,23 +49,23 @@
    */
   askForNewerRouting (position: number, revision: number, peers: readonly KnowingPeer[]): void {
     const newer = peers.filter(peer => peer.revision > revision && peer.positions !== undefined && peer.positions.operators <= position)
-    this.askOne(newer, ToldTopic.Operators, 0)
+    this.askOne(newer, AnnouncedTopic.Operators, 0)
   }
 
-  private askOne (peers: readonly KnowingPeer[], topic: ToldTopic, from: number): void {
+  private askOne (peers: readonly KnowingPeer[], topic: AnnouncedTopic, from: number): void {
     const chosen = peers[this.options.random.below(peers.length)]
     if (chosen) {
       this.ask(chosen.address, topic, from, -Infinity)
     }
   }
 
-  async ask (address: string, topic: ToldTopic, from: number, freshAt: number): Promise<void> {
+  async ask (address: string, topic: AnnouncedTopic, from: number, freshAt: number): Promise<void> {
     const { link, relayLog, onAnswer } = this.options
     if (this.open.has(topic)) {
       return
     }
     this.open.add(topic)
-    const told = await link().ask(address, topic, from)
+    const told = await link().fetchRecords(address, topic, from)
     this.open.delete(topic)
     told.caseOf({
       Left: ({ message }) => relayLog.trouble('Another instance does not tell its records.', { peer: address, topic, reason: message }),
--- a/packages/foxtaillever-relay/src/knowledge/readPlans.ts
+++ b/packages/foxtaillever-relay/src/knowledge/readPlans.ts
@@ -1,7 +1,7 @@
 /** When this instance reads each topic of the platform's store: few read at a time and tell the others. */
 import type { Clock } from 'foxtaillever-core'
 import { nextReadAt, nextWatchAt, placeReader, type Reader, type ReaderPlace } from 'foxtaillever-policy/relay/readTurn'
-import { ToldTopic } from '../peers/toldTopic.js'
+import { AnnouncedTopic } from '../peers/announcedTopic.js'
 import type { Freshness } from './freshness.js'
 import type { TopicFollower, TopicFollowerOptions } from './topicFollower.js'
 
@@ -31,10 +31,10 @@
     return new ReadPlans(options)
   }
 
-  of (topic: ToldTopic): ReadPlan {
-    const plans: Readonly<Record<ToldTopic, () => ReadPlan>> = {
-      [ToldTopic.Operators]: () => this.planOperators(),
-      [ToldTopic.Servers]: () => this.planServers()
+  of (topic: AnnouncedTopic): ReadPlan {
+    const plans: Readonly<Record<AnnouncedTopic, () => ReadPlan>> = {
+      [AnnouncedTopic.Operators]: () => this.planOperators(),
+      [AnnouncedTopic.Servers]: () => this.planServers()
     }
     return plans[topic]()
   }
--- a/packages/foxtaillever-relay/src/knowledge/readingLog.ts
+++ b/packages/foxtaillever-relay/src/knowledge/readingLog.ts
@@ -1,11 +1,11 @@
 /** Lines on what readings of the platform's store brought, so that a record that was passed over can be found afterwards. */
-import type { ToldTopic } from '../peers/toldTopic.js'
+import type { AnnouncedTopic } from '../peers/announcedTopic.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import { formatPosition } from './storePosition.js'
 
 /** A reading that has ended. */
 export interface EndedReading {
-  readonly topic: ToldTopic
+  readonly topic: AnnouncedTopic
   /** Everything before this position has been read. */
   readonly end: number
   /** Everything before this position was known before. */
@@ -14,7 +14,7 @@
 
 export class ReadingLog {
   /** Records of the reading under way that are older than what is known, by topic. */
-  private readonly older = new Map<ToldTopic, number>()
+  private readonly older = new Map<AnnouncedTopic, number>()
 
   private constructor (private readonly log: RelayLog) {}
 
@@ -23,7 +23,7 @@
   }
 
   /** @param isTaken the record is not older than what is known of its key. */
-  noteRecord (topic: ToldTopic, isTaken: boolean): void {
+  noteRecord (topic: AnnouncedTopic, isTaken: boolean): void {
     if (!isTaken) {
       this.older.set(topic, (this.older.get(topic) ?? 0) + 1)
     }
@@ -42,7 +42,7 @@
     }
   }
 
-  private takeOlder (topic: ToldTopic): number {
+  private takeOlder (topic: AnnouncedTopic): number {
     const older = this.older.get(topic) ?? 0
     this.older.delete(topic)
     return older
--- a/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
+++ b/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
@@ -92,7 +92,7 @@
       send: (to, message) => this.send(node, to, message),
       onMet: other => { node.known.add(other); this.look(node) },
       onDecided: () => {},
-      onPassedOver: () => {}
+      onUnresponsive: () => {}
     })
     if (!earlier) {
       this.nodes.push(node)
--- a/packages/foxtaillever-relay/src/limits/__tests__/limitProtocol.test.ts
+++ b/packages/foxtaillever-relay/src/limits/__tests__/limitProtocol.test.ts
@@ -163,7 +163,7 @@
   it('an instance that knows nobody who decides tells nobody', async t => {
     const clock = VirtualClock.create()
     const told: string[] = []
-    const protocol = LimitProtocol.create({ ...quotaKind, clock, address: 'a:1', ranking: () => [], settledAt: () => 0, instances: () => 1, send: to => { told.push(to) }, onMet: () => {}, onDecided: () => {}, onPassedOver: () => {} })
+    const protocol = LimitProtocol.create({ ...quotaKind, clock, address: 'a:1', ranking: () => [], settledAt: () => 0, instances: () => 1, send: to => { told.push(to) }, onMet: () => {}, onDecided: () => {}, onUnresponsive: () => {} })
     const outcomes: LimitOutcome[] = []
     protocol.claim({ key: ACCOUNT, limit: small, cost: 1 }, ({ outcome }) => { outcomes.push(outcome) })
     protocol.giveBack(ACCOUNT, 1)
--- a/packages/foxtaillever-relay/src/limits/createLimitProtocols.ts
+++ b/packages/foxtaillever-relay/src/limits/createLimitProtocols.ts
@@ -33,8 +33,8 @@
     settledAt: () => peers.limitOwners.settledAt,
     instances: () => peers.count(),
     send: (address, message) => peers.link.sendLimit(address, message),
-    onMet: address => peers.meet(address),
+    onMet: address => peers.addAddress(address),
     onDecided: (role, outcome) => log.limitDecided(kind.scope, role, outcome),
-    onPassedOver: peer => log.belief('An instance does not answer questions of limits; the next in the ranking is asked.', { peer })
+    onUnresponsive: peer => log.belief('An instance does not answer questions of limits; the next in the ranking is asked.', { peer })
   })
 }
--- a/packages/foxtaillever-relay/src/limits/limitProtocol.ts
+++ b/packages/foxtaillever-relay/src/limits/limitProtocol.ts
@@ -9,7 +9,7 @@
 import { RecentMap } from 'foxtaillever-policy/collections/recentMap'
 import { SharedLimitBook, LimitOutcome, LimitRole, RENEWAL_MS, type LimitClaim, type LimitTolerance, type ReturnOrder } from 'foxtaillever-policy/limits/sharedLimitBook'
 import { DatagramKind } from '../peers/datagram.js'
-import { PassedOver, type PassedOverOptions } from '../peers/passedOver.js'
+import { UnresponsivePeers, type UnresponsivePeersOptions } from '../peers/unresponsivePeers.js'
 import { LimitScope, type LimitAnswer, type LimitMessage, type LimitQuestion } from './limitMessage.js'
 
 /** One that does not answer for so long, milliseconds, is silent: a datagram's way is two at most, a busy loop takes tens. */
@@ -54,7 +54,7 @@
   readonly mostWaitMs: number
 }
 
-export interface LimitProtocolOptions extends LimitKind, PassedOverOptions {
+export interface LimitProtocolOptions extends LimitKind, UnresponsivePeersOptions {
   readonly clock: Clock
   readonly address: string
   /** Addresses of those that may decide for a key, the owner first. */
@@ -97,7 +97,7 @@
 
 export class LimitProtocol {
   private readonly book: SharedLimitBook
-  private readonly passedOver: PassedOver
+  private readonly passedOver: UnresponsivePeers
   private readonly pending = new Map<number, Pending>()
   private readonly allowances = RecentMap.create<Allowance>(FREE_BOUND)
   /** Keys whose promise will be looked at again. */
@@ -106,7 +106,7 @@
 
   private constructor (private readonly options: LimitProtocolOptions) {
     this.book = SharedLimitBook.create(options.tolerance, options.returnOrder)
-    this.passedOver = PassedOver.create(options)
+    this.passedOver = UnresponsivePeers.create(options)
   }
 
   static create (options: LimitProtocolOptions): LimitProtocol {
@@ -211,14 +211,14 @@
 
   private miss (number: number, pending: Pending, asked: string | undefined): void {
     if (asked !== undefined && pending.waiting.has(asked)) {
-      this.passedOver.miss(asked)
+      this.passedOver.recordTimeout(asked)
     }
     this.askNext(number, pending)
   }
 
   private hearAnswer ({ address, number, key, outcome, role, retryMs, free, owner }: LimitAnswer): void {
     const now = this.options.clock.now()
-    this.passedOver.hear(address)
+    this.passedOver.recordAnswer(address)
     this.allowances.set(key, { tokens: free, until: now + FREE_MS })
     const pending = this.pending.get(number)
     if (pending?.waiting.delete(address) !== true) {
--- a/packages/foxtaillever-relay/src/limits/serverLimits.ts
+++ b/packages/foxtaillever-relay/src/limits/serverLimits.ts
@@ -12,7 +12,7 @@
 import type { Exchange } from '../model/exchange.js'
 import { LimitStatementKind } from '../model/limitStatement.js'
 import type { ServerStatement } from '../model/serverStatement.js'
-import type { LimitNews } from '../peers/peerMessage.js'
+import type { LimitUpdate } from '../peers/peerMessage.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -91,7 +91,7 @@
   }
 
   /** What another instance tells. */
-  hear (news: readonly LimitNews[]): void {
+  hear (news: readonly LimitUpdate[]): void {
     const { clock, directory } = this.options
     news.forEach(({ server, perSecond, ageMs }) => {
       const known = directory.ofHash(server)
@@ -102,7 +102,7 @@
   }
 
   /** What to tell the others. */
-  news (): LimitNews[] {
+  news (): LimitUpdate[] {
     const { clock, directory } = this.options
     const now = clock.now()
     return this.stated.toTell(now)
--- a/packages/foxtaillever-relay/src/peers/__tests__/leaseCalls.test.ts
+++ b/packages/foxtaillever-relay/src/peers/__tests__/leaseCalls.test.ts
@@ -1,4 +1,4 @@
-/** A holder that is cut off from the store renews its lease by way of another instance, over a call between the two. */
+/** A lease holder that is cut off from the store renews its lease by calls to another instance. */
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { SystemClock } from 'foxtaillever-core'
@@ -8,25 +8,25 @@
 import { callServer } from '../../servers/callServer.js'
 import { ServerConnections } from '../../servers/serverConnections.js'
 import type { FenceLog } from '../../weights/fenceLog.js'
-import { answerLeaseCall, logThrough } from '../leaseCalls.js'
+import { answerLeaseCall, createProxiedLog } from '../leaseCalls.js'
 
 const TOPIC = 'lease'
 const TIMEOUT_MS = 5000
 
-async function withLent (log: FenceLog, use: (lent: FenceLog) => Promise<void>): Promise<void> {
+async function withProxiedLog (log: FenceLog, use: (proxied: FenceLog) => Promise<void>): Promise<void> {
   const clock = SystemClock.create()
   const server = createServer((request, response) => {
     answerLeaseCall(log, TOPIC, request, new URL(request.url ?? '', 'http://peer').searchParams, response).catch(() => response.destroy())
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
   const connections = ServerConnections.create({ address: `127.0.0.1:${(server.address() as AddressInfo).port}`, part: { total: 1, idle: 1 } })
-  await use(logThrough(async call => await callServer(connections, call, clock, clock.now() + TIMEOUT_MS)))
+  await use(createProxiedLog(async call => await callServer(connections, call, clock, clock.now() + TIMEOUT_MS)))
   connections.close()
   server.close()
 }
 
-describe('the log of the lease by way of another instance', () => {
-  it('says what the store said', async t => {
+describe('the lease log through another instance', () => {
+  it('passes on the answers of the store', async t => {
     const records: Buffer[] = []
     const log: FenceLog = {
       append: async (topic, at, record) => {
@@ -36,20 +36,20 @@
       },
       readAt: async (_, offset) => Right(records[offset])
     }
-    await withLent(log, async lent => {
-      t.deepEqual((await lent.append('', 0, Buffer.from('holder'))).extract(), { isAppended: true, end: 1 })
-      t.deepEqual((await lent.append('', 0, Buffer.from('holder'))).extract(), { isAppended: false, end: 1 })
-      t.deepEqual((await lent.readAt('', 0)).extract(), Buffer.from('holder'))
-      t.is((await lent.readAt('', 7)).extract(), undefined)
-      t.true((await lent.append('', 1, Buffer.alloc(5000))).isLeft())
+    await withProxiedLog(log, async proxied => {
+      t.deepEqual((await proxied.append('', 0, Buffer.from('holder'))).extract(), { isAppended: true, end: 1 })
+      t.deepEqual((await proxied.append('', 0, Buffer.from('holder'))).extract(), { isAppended: false, end: 1 })
+      t.deepEqual((await proxied.readAt('', 0)).extract(), Buffer.from('holder'))
+      t.is((await proxied.readAt('', 7)).extract(), undefined)
+      t.true((await proxied.append('', 1, Buffer.alloc(5000))).isLeft())
     })
   })
 
-  // The append may have been made all the same: only the store's word says that it was not.
-  it('promises nothing where the store did not answer', async t => {
+  // The append may have taken effect: only the store's answer can rule it out.
+  it('reports an unknown outcome if the store did not answer', async t => {
     const silent = Left(Failure.create(FailureCode.LogUnavailable, Verdict.MayHaveRun, 'no answer in time'))
-    await withLent({ append: async () => silent, readAt: async () => silent }, async lent => {
-      const answer = await lent.append('', 0, Buffer.from('holder'))
+    await withProxiedLog({ append: async () => silent, readAt: async () => silent }, async proxied => {
+      const answer = await proxied.append('', 0, Buffer.from('holder'))
       t.is(answer.swap().map(({ verdict }) => verdict).extract() as Verdict, Verdict.MayHaveRun)
     })
   })
--- a/packages/foxtaillever-relay/src/peers/datagram.ts
+++ b/packages/foxtaillever-relay/src/peers/datagram.ts
@@ -1,17 +1,17 @@
 /**
- * The form of all datagrams between instances: arrays by position, because names
- * would double the size. Each is unpacked once; its first element says what it
- * is. Without the package's native part, which takes longer to find at the start
- * than it saves in such small messages.
+ * Encoding of all datagrams between instances: positional arrays, because field
+ * names would double the size. Each is unpacked once; its first element is its
+ * kind. The native extension of msgpackr is not used: loading it at startup takes
+ * longer than it saves on such small messages.
  */
 import { Packr } from 'msgpackr/pack'
 import { Maybe } from 'purify-ts'
 
-/** First element of every datagram but a beat, which begins with a name. */
+/** First element of every datagram except a heartbeat, which begins with the sender's name. */
 export enum DatagramKind {
   ReadNotice = 1,
   Weights = 2,
-  LoadWord = 11,
+  ServerLoadReport = 11,
   LoadQuestion = 12,
   LoadAnswer = 13,
   LimitQuestion = 21,
@@ -27,7 +27,7 @@
   return packr.pack(wire)
 }
 
-/** Nothing for bytes that are no datagram of ours. */
+/** Nothing for bytes that are not a datagram of this protocol. */
 export function unpackDatagram (bytes: Uint8Array): Maybe<readonly unknown[]> {
   return Maybe.encase(() => packr.unpack(bytes) as unknown).filter((wire): wire is readonly unknown[] => Array.isArray(wire))
 }
--- a/packages/foxtaillever-relay/src/peers/fleetUse.ts
+++ b/packages/foxtaillever-relay/src/peers/fleetLoad.ts
@@ -1,62 +1,62 @@
-/** Load that the other instances put on each backend server, as it was last told. */
+/** Load that the other instances put on each backend server, as last reported. */
 import type { Clock } from 'foxtaillever-core'
 import { fadeLoad, noLoad, sampleSum, type ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
 import type { ServerUse } from './peerMessage.js'
 
-interface Word {
+interface PeerLoad {
   readonly uses: readonly ServerUse[]
   /** Milliseconds of Unix time. */
   readonly at: number
 }
 
-interface Sum extends ServerLoad {
+interface WatchedSum extends ServerLoad {
   readonly at: number
 }
 
-/** A sum is forgotten after this; less than a thousandth of it would count, milliseconds. */
-const FORGOTTEN_MS = 4000
+/** A watched sum expires after this many milliseconds: it has faded to less than a thousandth by then. */
+const EXPIRY_MS = 4000
 
-export class FleetUse {
-  private readonly byPeer = new Map<string, Word>()
+export class FleetLoad {
+  private readonly byPeer = new Map<string, PeerLoad>()
   private readonly sums = new Map<number, ServerLoad>()
-  /** Sums that a watcher told. */
-  private readonly watched = new Map<number, Sum>()
+  /** Sums reported by watchers, by the server's hash. */
+  private readonly watched = new Map<number, WatchedSum>()
 
   private constructor (private readonly clock: Clock) {}
 
-  static create (clock: Clock): FleetUse {
-    return new FleetUse(clock)
+  static create (clock: Clock): FleetLoad {
+    return new FleetLoad(clock)
   }
 
   of (server: number): ServerLoad {
-    const told = this.sums.get(server) ?? noLoad
+    const reported = this.sums.get(server) ?? noLoad
     const sum = this.watched.get(server)
-    return sum === undefined ? told : add(told, fadeLoad(sum, this.clock.now() - sum.at), 1)
+    return sum === undefined ? reported : add(reported, fadeLoad(sum, this.clock.now() - sum.at), 1)
   }
 
   /**
-   * Tokens on the way at what everybody tells of for itself, where few words of
-   * each come here.
-   * @param others instances that tell.
+   * Estimates the outstanding tokens at a server for which each instance reports
+   * only its own load, when only few of these reports arrive here.
+   * @param others number of instances that report.
    */
   sampledTokens (server: number, others: number): number {
     const now = this.clock.now()
-    const words = [...this.byPeer.values()].map(({ uses, at }) => ({ amount: uses.find(use => use.server === server)?.tokens ?? 0, ageMs: now - at }))
-    return sampleSum(words, others)
+    const samples = [...this.byPeer.values()].map(({ uses, at }) => ({ amount: uses.find(use => use.server === server)?.tokens ?? 0, ageMs: now - at }))
+    return sampleSum(samples, others)
   }
 
-  observe (peer: string, uses: readonly ServerUse[]): void {
+  setPeerLoad (peer: string, uses: readonly ServerUse[]): void {
     this.forget(peer)
     this.byPeer.set(peer, { uses, at: this.clock.now() })
     this.addAll(uses, 1)
   }
 
-  /** A watcher told what all others put on the server. */
-  learn (server: number, load: ServerLoad): void {
+  /** Records the load that a watcher reported for all other instances together. */
+  setWatchedLoad (server: number, load: ServerLoad): void {
     this.watched.set(server, { ...load, at: this.clock.now() })
   }
 
-  /** One that is not heard any more puts no load that anyone knows of. */
+  /** Removes the load of instances that are no longer alive, and expired sums. */
   retain (isAlive: (peer: string) => boolean): void {
     for (const peer of [...this.byPeer.keys()]) {
       if (!isAlive(peer)) {
@@ -65,7 +65,7 @@
     }
     const now = this.clock.now()
     for (const [server, { at }] of this.watched) {
-      if (at + FORGOTTEN_MS <= now) {
+      if (at + EXPIRY_MS <= now) {
         this.watched.delete(server)
       }
     }
@@ -88,10 +88,10 @@
   }
 }
 
-function add (one: ServerLoad, other: ServerLoad, sign: 1 | -1): ServerLoad {
+function add (a: ServerLoad, b: ServerLoad, sign: 1 | -1): ServerLoad {
   return {
-    outstanding: one.outstanding + sign * other.outstanding,
-    tokens: one.tokens + sign * other.tokens,
-    heldTokens: one.heldTokens + sign * other.heldTokens
+    outstanding: a.outstanding + sign * b.outstanding,
+    tokens: a.tokens + sign * b.tokens,
+    heldTokens: a.heldTokens + sign * b.heldTokens
   }
 }
--- a/packages/foxtaillever-relay/src/peers/rounds.ts
+++ b/packages/foxtaillever-relay/src/peers/heartbeatRounds.ts
@@ -1,20 +1,21 @@
 /**
- * Whom the beats of a large fleet go to: in each round everyone once, in random
- * order. Drawn anew for each beat, one in eight of 70 instances would hear
- * nothing of another for twice as long as a round takes.
+ * Chooses the receivers of heartbeats in a large fleet: each round reaches every
+ * instance once, in random order. If receivers were drawn anew for each heartbeat,
+ * one in eight of 70 instances would receive nothing from another instance for
+ * twice the length of a round.
  */
 import type { Random } from 'foxtaillever-core'
 
-export class Rounds {
+export class HeartbeatRounds {
   private left: readonly string[] = []
 
   private constructor (private readonly random: Random) {}
 
-  static create (random: Random): Rounds {
-    return new Rounds(random)
+  static create (random: Random): HeartbeatRounds {
+    return new HeartbeatRounds(random)
   }
 
-  /** @param all addresses that there are now. */
+  /** @param all addresses of all instances at the moment. */
   next (all: readonly string[], count: number): readonly string[] {
     const known = new Set(all)
     let left = this.left.filter(address => known.has(address))
@@ -27,6 +28,6 @@
   }
 
   private shuffle (addresses: readonly string[]): string[] {
-    return addresses.map(address => ({ address, order: this.random.next() })).sort((one, other) => one.order - other.order).map(({ address }) => address)
+    return addresses.map(address => ({ address, order: this.random.next() })).sort((a, b) => a.order - b.order).map(({ address }) => address)
   }
 }
--- a/packages/foxtaillever-relay/src/peers/leaseCalls.ts
+++ b/packages/foxtaillever-relay/src/peers/leaseCalls.ts
@@ -1,4 +1,4 @@
-/** Calls between instances by which one that the platform's store does not answer reaches the lease's log through another. */
+/** Calls between instances through which an instance that cannot reach the platform's store uses the lease's log by way of another instance. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { Failure, FailureCode, Verdict } from 'foxtaillever-core'
 import { Either, Left, Right } from 'purify-ts'
@@ -8,14 +8,14 @@
 
 export const LEASE_PATH = '/lease'
 
-/** A record names a holder; a body of more is not one, bytes. */
-const MOST_RECORD_BYTES = 1000
+/** Maximum size of a lease record in bytes. A record only names a holder; anything larger is not a record. */
+const MAX_RECORD_BYTES = 1000
 
 const OFFSET = 'offset'
 
-type Send = (call: ServerCall) => Promise<Either<Failure, WholeAnswer>>
+type SendCall = (call: ServerCall) => Promise<Either<Failure, WholeAnswer>>
 
-function callOf (method: string, offset: number, body: Buffer): ServerCall {
+function createCall (method: string, offset: number, body: Buffer): ServerCall {
   return { method, path: `${LEASE_PATH}?${OFFSET}=${offset}`, headers: ['Host', 'peer', 'Content-Length', String(body.length)], body }
 }
 
@@ -25,7 +25,7 @@
   }
   return Either.encase(() => JSON.parse(body.toString()) as unknown)
     .mapLeft(({ message }) => message)
-    .chain<string, T>(value => isWanted(value) ? Right(value) : Left('another form'))
+    .chain<string, T>(value => isWanted(value) ? Right(value) : Left('an unexpected form'))
     .mapLeft(reason => Failure.create(FailureCode.LogUnavailable, Verdict.MayHaveRun, reason))
 }
 
@@ -39,11 +39,11 @@
   return record === null || typeof record === 'string'
 }
 
-/** The log as another instance reaches it; the topic is the one that all keep the lease in. */
-export function logThrough (send: Send): FenceLog {
+/** The lease's log, accessed through another instance. The topic is ignored: all instances keep the lease in the same one. */
+export function createProxiedLog (send: SendCall): FenceLog {
   return {
-    append: async (_, at, record) => (await send(callOf('POST', at, record))).chain(answer => read(answer, isAppend)),
-    readAt: async (_, offset) => (await send(callOf('GET', offset, Buffer.alloc(0))))
+    append: async (_, at, record) => (await send(createCall('POST', at, record))).chain(answer => read(answer, isAppend)),
+    readAt: async (_, offset) => (await send(createCall('GET', offset, Buffer.alloc(0))))
       .chain(answer => read(answer, isRecord))
       .map(({ record }) => record === null ? undefined : Buffer.from(record, 'base64'))
   }
@@ -54,7 +54,7 @@
   let bytes = 0
   for await (const chunk of request as AsyncIterable<Buffer>) {
     bytes += chunk.length
-    if (bytes > MOST_RECORD_BYTES) {
+    if (bytes > MAX_RECORD_BYTES) {
       throw new Error('The record of a lease is too long.')
     }
     chunks.push(chunk)
@@ -62,7 +62,7 @@
   return Buffer.concat(chunks)
 }
 
-/** Carries out such a call of another instance at the log of this one: 200, or 503 where the store does not answer. */
+/** Handles such a call of another instance with the log of this instance. Answers 200, or 503 if the store does not answer. */
 export async function answerLeaseCall (log: FenceLog, topic: string, request: IncomingMessage, search: URLSearchParams, response: ServerResponse): Promise<void> {
   const offset = Number(search.get(OFFSET))
   const body = await readBody(request)
--- a/packages/foxtaillever-relay/src/peers/loadMessage.ts
+++ b/packages/foxtaillever-relay/src/peers/loadMessage.ts
@@ -1,30 +1,30 @@
-/** What instances of a large fleet tell and ask each other about load, by datagram: arrays by position, servers by hash. */
+/** Datagrams with which instances of a large fleet report and query load: positional arrays, servers by hash. */
 import { Maybe } from 'purify-ts'
 import { DatagramKind, packDatagram } from './datagram.js'
 import type { ServerUse } from './peerMessage.js'
 
-export type LoadMessageKind = DatagramKind.LoadWord | DatagramKind.LoadQuestion | DatagramKind.LoadAnswer
+export type LoadMessageKind = DatagramKind.ServerLoadReport | DatagramKind.LoadQuestion | DatagramKind.LoadAnswer
 
-/** What one instance puts on servers that the receiver watches; replaces its earlier words on these. */
-export interface LoadWord {
-  readonly kind: DatagramKind.LoadWord
+/** Load that the sender puts on servers that the receiver watches; replaces its earlier reports on these servers. */
+export interface ServerLoadReport {
+  readonly kind: DatagramKind.ServerLoadReport
   readonly address: string
   readonly loads: readonly ServerUse[]
-  /** Servers that took no connection from it a moment ago. */
+  /** Servers that recently accepted no connection from the sender. */
   readonly unreachable: readonly number[]
-  /** Prompt levels, at home at a server that the receiver watches, that it had saved to their store. */
+  /** Prompt levels that the sender had saved to their store; their home is a server that the receiver watches. */
   readonly saved: readonly number[]
-  /** Servers that asked it for rest a moment ago. */
-  readonly resting: readonly number[]
+  /** Servers that recently asked the sender to back off. */
+  readonly backingOff: readonly number[]
 }
 
-/** What do all others put on these servers? */
+/** Asks for the load that all other instances put on these servers. */
 export interface LoadQuestion {
   readonly kind: DatagramKind.LoadQuestion
   readonly address: string
   readonly number: number
   readonly servers: readonly number[]
-  /** Prompt levels at home at one of the servers: were they saved of late? */
+  /** Prompt levels whose home is one of the servers; asks whether they were saved recently. */
   readonly levels: readonly number[]
 }
 
@@ -33,15 +33,15 @@
   readonly address: string
   readonly number: number
   readonly loads: readonly ServerUse[]
-  /** Those of the servers that several instances could not reach of late. */
+  /** The servers among these that several instances recently could not reach. */
   readonly unreachable: readonly number[]
-  /** Those of the levels that were saved of late. */
+  /** The levels among these that were saved recently. */
   readonly saved: readonly number[]
-  /** Those of the servers that asked any instance for rest of late. */
-  readonly resting: readonly number[]
+  /** The servers among these that recently asked any instance to back off. */
+  readonly backingOff: readonly number[]
 }
 
-export type LoadMessage = LoadWord | LoadQuestion | LoadAnswer
+export type LoadMessage = ServerLoadReport | LoadQuestion | LoadAnswer
 
 type WireLoad = readonly [number, number, number, number]
 
@@ -52,16 +52,16 @@
 export function encodeLoadMessage (message: LoadMessage): Buffer {
   const { kind, address } = message
   switch (kind) {
-    case DatagramKind.LoadWord: return packDatagram([kind, address, message.loads.map(packLoad), message.unreachable, message.saved, message.resting])
+    case DatagramKind.ServerLoadReport: return packDatagram([kind, address, message.loads.map(packLoad), message.unreachable, message.saved, message.backingOff])
     case DatagramKind.LoadQuestion: return packDatagram([kind, address, message.number, message.servers, message.levels])
-    case DatagramKind.LoadAnswer: return packDatagram([kind, address, message.number, message.loads.map(packLoad), message.unreachable, message.saved, message.resting])
+    case DatagramKind.LoadAnswer: return packDatagram([kind, address, message.number, message.loads.map(packLoad), message.unreachable, message.saved, message.backingOff])
   }
 }
 
 const readers: Readonly<Record<LoadMessageKind, (address: string, rest: readonly unknown[]) => LoadMessage>> = {
-  [DatagramKind.LoadWord]: (address, [loads, unreachable, saved, resting]) => ({ kind: DatagramKind.LoadWord, address, loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), resting: readNumbers(resting) }),
+  [DatagramKind.ServerLoadReport]: (address, [loads, unreachable, saved, backingOff]) => ({ kind: DatagramKind.ServerLoadReport, address, loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), backingOff: readNumbers(backingOff) }),
   [DatagramKind.LoadQuestion]: (address, [number, servers, levels]) => ({ kind: DatagramKind.LoadQuestion, address, number: Number(number), servers: readNumbers(servers), levels: readNumbers(levels) }),
-  [DatagramKind.LoadAnswer]: (address, [number, loads, unreachable, saved, resting]) => ({ kind: DatagramKind.LoadAnswer, address, number: Number(number), loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), resting: readNumbers(resting) })
+  [DatagramKind.LoadAnswer]: (address, [number, loads, unreachable, saved, backingOff]) => ({ kind: DatagramKind.LoadAnswer, address, number: Number(number), loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), backingOff: readNumbers(backingOff) })
 }
 
 /** Nothing for a datagram of another form. */
--- /dev/null
+++ b/packages/foxtaillever-relay/src/peers/loadProtocol.ts
@@ -0,0 +1,233 @@
+/**
+ * Exchanges load in a large fleet. Each server has watchers, computed by all
+ * instances alike. Every instance reports changes of the load that it puts on a
+ * server to the watchers, and queries the first watcher before it chooses a
+ * server. Its information is as old as a datagram's transit, and the traffic
+ * grows with its own requests and not with the fleet.
+ */
+import type { Cancellation } from 'foxtaillever-core'
+import type { ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
+import { DatagramKind } from './datagram.js'
+import type { FleetLoad } from './fleetLoad.js'
+import type { LoadMessage, LoadQuestion, ServerLoadReport } from './loadMessage.js'
+import { LoadQueryClient, type LevelAtHome, type LoadQueryClientOptions, type LoadQuery, type WatcherQuestion, type WatcherReport } from './loadQueryClient.js'
+import { WatchedServerTable } from './watchedServerTable.js'
+import type { ServerUse } from './peerMessage.js'
+
+/** Milliseconds between two reports of changes: each of 42 servers gets a request every 100. The first change is reported at once. */
+const POLL_INTERVAL_MS = 25
+
+/**
+ * Unchanged load is reported again with the first heartbeat after this many
+ * milliseconds, because datagrams are lost and watchers change. Heartbeats of a
+ * large fleet are 800 to 1000 ms apart.
+ */
+const REPEAT_REPORT_MS = 700
+
+/** Every instance has repeated all its reports after this many milliseconds: the longest time between two heartbeats, plus a report's transit. */
+const ALL_REPORTED_MS = 1025
+
+/** After this many milliseconds without a heartbeat of its own, this instance was suspended or has just started, and missed reports. */
+const MISSED_HEARTBEAT_MS = 1500
+
+export interface LoadProtocolOptions extends Pick<LoadQueryClientOptions, 'clock' | 'address' | 'watchersOf' | 'onUnresponsive'> {
+  readonly use: FleetLoad
+  readonly send: (address: string, message: LoadMessage) => void
+  /** Load that this instance puts on each server now. */
+  readonly own: () => readonly ServerUse[]
+  /** Whether instances query the load of the server before they choose; the load of other servers is reported with heartbeats only. */
+  readonly isQueried: (server: number) => boolean
+  /** Called with levels that any instance saved recently. */
+  readonly onSaved: (levels: readonly number[]) => void
+  /** Called when several instances recently could not reach a server. */
+  readonly onUnreachable: (server: number) => void
+  /** Called when a server recently asked other instances to back off. */
+  readonly onBackingOff: (server: number) => void
+}
+
+interface ReportedLoad extends ServerLoad {
+  readonly at: number
+}
+
+export class LoadProtocol {
+  private readonly watchedServers = WatchedServerTable.create()
+  private readonly queries: LoadQueryClient
+  /** Load last reported, by the server's hash; `at` is when it was last reported to all watchers. */
+  private readonly reported = new Map<number, ReportedLoad>()
+  private heartbeatAt = 0
+  private polledAt = 0
+  private isPollDue = false
+  /** When every instance will have repeated all its reports, milliseconds of Unix time. */
+  private completeAt = Infinity
+  private cancelPoll: Cancellation = () => {}
+
+  private constructor (private readonly options: LoadProtocolOptions) {
+    const { address, clock } = options
+    this.queries = LoadQueryClient.create({
+      ...options,
+      answerLocally: question => this.answerTo(question, address),
+      isOwnDataComplete: () => clock.now() >= this.completeAt,
+      onReport: report => this.applyWatcherReport(report)
+    })
+  }
+
+  static create (options: LoadProtocolOptions): LoadProtocol {
+    return new LoadProtocol(options)
+  }
+
+  stop (): void {
+    this.cancelPoll()
+  }
+
+  /** Called with each heartbeat of this instance. */
+  handleHeartbeat (): void {
+    const now = this.options.clock.now()
+    if (now > this.heartbeatAt + MISSED_HEARTBEAT_MS) {
+      this.completeAt = now + ALL_REPORTED_MS
+    }
+    this.heartbeatAt = now
+    this.cancelPoll()
+    this.poll(() => true)
+  }
+
+  /** Called when the load that this instance puts on a server changed; reports it soon, together with further changes until then. */
+  noteChange (): void {
+    if (!this.isPollDue) {
+      this.isPollDue = true
+      this.cancelPoll = this.options.clock.at(this.polledAt + POLL_INTERVAL_MS, () => this.poll(this.options.isQueried))
+    }
+  }
+
+  handleMessage (message: LoadMessage): void {
+    const now = this.options.clock.now()
+    switch (message.kind) {
+      case DatagramKind.ServerLoadReport: this.applyReport(message, now); break
+      case DatagramKind.LoadQuestion: this.answer(message, now); break
+      case DatagramKind.LoadAnswer: this.queries.handleAnswer(message); break
+    }
+  }
+
+  /** Queries the watchers of servers; see `LoadQueryClient`. */
+  async query (query: LoadQuery): Promise<ReadonlySet<number>> {
+    return await this.queries.query(query)
+  }
+
+  /** A server accepted no connection from this instance: its watchers pass this on to instances that are about to send there. */
+  reportUnreachable (server: number): void {
+    this.notifyWatchers(server, { unreachable: [server] })
+  }
+
+  /** A server asked this instance to back off: its watchers pass this on to instances that are about to send there. */
+  reportBackingOff (server: number): void {
+    if (this.options.isQueried(server)) {
+      this.notifyWatchers(server, { backingOff: [server] })
+    }
+  }
+
+  /** This instance had a level saved: the watchers of its home pass this on with later answers, so that it is saved once. */
+  reportSaved ({ level, home }: LevelAtHome): void {
+    this.notifyWatchers(home, { saved: [level] })
+  }
+
+  /** A store restarted empty: levels are no longer reported as saved. */
+  forgetSaved (): void {
+    this.watchedServers.saved.forget()
+  }
+
+  /** Total load of the servers for which this instance is the first watcher, to be sent to all instances. */
+  sums (servers: readonly number[]): ServerUse[] {
+    const { address, clock } = this.options
+    return servers
+      .filter(server => this.options.watchersOf(server)[0] === address)
+      .map(server => ({ server, ...this.watchedServers.sumOf(server, '', clock.now()) }))
+      .filter(({ outstanding }) => outstanding > 0)
+  }
+
+  /** A watcher that missed reports does not answer, rather than answer too little; the other watcher is queried instead. */
+  private answer (question: LoadQuestion, now: number): void {
+    if (now >= this.completeAt) {
+      const { address, number } = question
+      this.options.send(address, { kind: DatagramKind.LoadAnswer, address: this.options.address, number, ...this.answerTo(question, address) })
+    }
+  }
+
+  private answerTo ({ servers, levels }: WatcherQuestion | LoadQuestion, requester: string): WatcherReport {
+    const now = this.options.clock.now()
+    return {
+      loads: servers.map(server => ({ server, ...this.watchedServers.sumOf(server, requester, now) })),
+      unreachable: servers.filter(server => this.watchedServers.isUnreachable(server, now)),
+      saved: levels.filter(level => this.watchedServers.saved.has(level, now)),
+      backingOff: servers.filter(server => this.watchedServers.isBackingOff(server, now))
+    }
+  }
+
+  private applyWatcherReport ({ loads, unreachable, saved, backingOff }: WatcherReport): void {
+    const { use, onUnreachable, onBackingOff, onSaved } = this.options
+    loads.forEach(({ server, ...load }) => use.setWatchedLoad(server, load))
+    unreachable.forEach(onUnreachable)
+    backingOff.forEach(onBackingOff)
+    onSaved(saved)
+  }
+
+  private poll (isReported: (server: number) => boolean): void {
+    const now = this.options.clock.now()
+    this.polledAt = now
+    this.isPollDue = false
+    this.sendReports(isReported, now)
+  }
+
+  /** Reports changes to the first watcher at once, and everything to both watchers with a heartbeat. */
+  private sendReports (isReported: (server: number) => boolean, now: number): void {
+    const own = new Map(this.options.own().filter(({ server }) => isReported(server)).map(use => [use.server, use]))
+    const reports = new Map<string, ServerUse[]>()
+    const gone = [...this.reported.keys()].filter(server => !own.has(server) && isReported(server))
+    for (const use of [...own.values(), ...gone.map(server => ({ server, outstanding: 0, tokens: 0, heldTokens: 0 }))]) {
+      const last = this.reported.get(use.server)
+      const isDue = last === undefined || last.at + REPEAT_REPORT_MS <= now
+      if (isDue || !isSame(last, use)) {
+        this.addToReports(use, isDue, reports, now)
+      }
+    }
+    reports.forEach((loads, watcher) => this.sendReport(watcher, { loads }, now))
+  }
+
+  private addToReports (use: ServerUse, isForAll: boolean, reports: Map<string, ServerUse[]>, now: number): void {
+    const { server, outstanding, tokens, heldTokens } = use
+    const watchers = this.options.watchersOf(server)
+    const [primary = ''] = watchers
+    const at = isForAll ? now : this.reported.get(server)?.at ?? now
+    this.reported.set(server, { outstanding, tokens, heldTokens, at })
+    for (const watcher of isForAll || outstanding === 0 ? watchers : [primary]) {
+      reports.set(watcher, [...reports.get(watcher) ?? [], { server, outstanding, tokens, heldTokens }])
+    }
+    if (outstanding === 0) {
+      this.reported.delete(server)
+    }
+  }
+
+  private applyReport ({ address, loads, unreachable, saved, backingOff }: ServerLoadReport, now: number): void {
+    this.watchedServers.recordLoads(address, loads, now)
+    this.watchedServers.recordUnreachable(address, unreachable, now)
+    this.watchedServers.saved.hear(saved, now)
+    this.watchedServers.recordBackingOff(backingOff, now)
+  }
+
+  private notifyWatchers (server: number, changes: Partial<WatcherReport>): void {
+    const { clock, watchersOf } = this.options
+    watchersOf(server).forEach(watcher => this.sendReport(watcher, changes, clock.now()))
+  }
+
+  private sendReport (watcher: string, { loads = [], unreachable = [], saved = [], backingOff = [] }: Partial<WatcherReport>, now: number): void {
+    const { address, send } = this.options
+    const report: ServerLoadReport = { kind: DatagramKind.ServerLoadReport, address, loads, unreachable, saved, backingOff }
+    if (watcher === address) {
+      this.applyReport(report, now)
+    } else {
+      send(watcher, report)
+    }
+  }
+}
+
+function isSame (a: ServerLoad, b: ServerLoad): boolean {
+  return a.outstanding === b.outstanding && a.tokens === b.tokens && a.heldTokens === b.heldTokens
+}
--- /dev/null
+++ b/packages/foxtaillever-relay/src/peers/loadQueryClient.ts
@@ -0,0 +1,142 @@
+/**
+ * Queries the watchers of servers for load before an instance chooses a server.
+ * The first watcher of each server is queried. A watcher that does not answer is
+ * skipped for a while, because the second one receives every report too.
+ */
+import type { Clock } from 'foxtaillever-core'
+import { DatagramKind } from './datagram.js'
+import type { LoadAnswer, LoadQuestion } from './loadMessage.js'
+import { UnresponsivePeers } from './unresponsivePeers.js'
+
+/** A watcher answers from memory. The round trip takes at most 2.8 ms, and the event loop of a slow machine adds up to 10. */
+const ANSWER_TIMEOUT_MS = 15
+
+/** A prompt level and its home server. */
+export interface LevelAtHome {
+  readonly level: number
+  /** Hash of the server. */
+  readonly home: number
+}
+
+/** What must be known before a server is chosen. */
+export interface LoadQuery {
+  /** Hashes of the servers. */
+  readonly servers: readonly number[]
+  /** The deepest shared level of the prompt, if levels are saved. */
+  readonly level?: LevelAtHome | undefined
+}
+
+/** The part of a query that goes to one watcher. */
+export interface WatcherQuestion {
+  readonly servers: number[]
+  readonly levels: number[]
+}
+
+/** What a watcher knows about servers and levels. */
+export type WatcherReport = Pick<LoadAnswer, 'loads' | 'unreachable' | 'saved' | 'backingOff'>
+
+interface Pending {
+  readonly waiting: Set<string>
+  readonly resolve: () => void
+}
+
+export interface LoadQueryClientOptions {
+  readonly clock: Clock
+  readonly address: string
+  /** Addresses of a server's watchers, by the server's hash. */
+  readonly watchersOf: (server: number) => readonly string[]
+  readonly send: (address: string, question: LoadQuestion) => void
+  /** Answers from what this instance knows as a watcher. */
+  readonly answerLocally: (question: WatcherQuestion) => WatcherReport
+  /** Whether this instance has received every report that it should have as a watcher. */
+  readonly isOwnDataComplete: () => boolean
+  readonly onReport: (report: WatcherReport) => void
+  /** Called when a watcher did not answer several questions in a row. */
+  readonly onUnresponsive: (address: string) => void
+}
+
+export class LoadQueryClient {
+  private readonly unresponsive: UnresponsivePeers
+  private readonly pending = new Map<number, Pending>()
+  private number = 0
+
+  private constructor (private readonly options: LoadQueryClientOptions) {
+    this.unresponsive = UnresponsivePeers.create(options)
+  }
+
+  static create (options: LoadQueryClientOptions): LoadQueryClient {
+    return new LoadQueryClient(options)
+  }
+
+  /**
+   * Resolves when every watcher has answered or timed out; never rejects.
+   * @returns hashes of the servers whose load was queried.
+   */
+  async query ({ servers, level }: LoadQuery): Promise<ReadonlySet<number>> {
+    const queried = new Set(level === undefined ? servers : [...servers, level.home])
+    const questions = this.plan(queried, level)
+    const { address, answerLocally: answerOwn, onReport: onLearned } = this.options
+    const own = questions.get(address)
+    if (own) {
+      questions.delete(address)
+      onLearned(answerOwn(own))
+    }
+    if (questions.size > 0) {
+      await this.send(questions)
+    }
+    return queried
+  }
+
+  handleAnswer (answer: LoadAnswer): void {
+    const { address, number } = answer
+    this.unresponsive.recordAnswer(address)
+    this.options.onReport(answer)
+    const pending = this.pending.get(number)
+    if (pending?.waiting.delete(address) === true && pending.waiting.size === 0) {
+      this.pending.delete(number)
+      pending.resolve()
+    }
+  }
+
+  /** Questions by the address of the watcher that gets them. */
+  private plan (servers: ReadonlySet<number>, level: LevelAtHome | undefined): Map<string, WatcherQuestion> {
+    const questions = new Map<string, WatcherQuestion>()
+    for (const server of servers) {
+      const watcher = this.options.watchersOf(server).find(address => !this.isSkipped(address))
+      if (watcher !== undefined) {
+        const question = questions.get(watcher) ?? { servers: [], levels: [] }
+        question.servers.push(server)
+        if (server === level?.home) {
+          question.levels.push(level.level)
+        }
+        questions.set(watcher, question)
+      }
+    }
+    return questions
+  }
+
+  private async send (questions: ReadonlyMap<string, WatcherQuestion>): Promise<void> {
+    const { clock, address, send } = this.options
+    const number = this.number++
+    const waiting = new Set(questions.keys())
+    await new Promise<void>(resolve => {
+      const cancel = clock.at(clock.now() + ANSWER_TIMEOUT_MS, () => this.expire(number))
+      this.pending.set(number, { waiting, resolve: () => { cancel(); resolve() } })
+      questions.forEach((question, watcher) => send(watcher, { kind: DatagramKind.LoadQuestion, address, number, ...question }))
+    })
+  }
+
+  private expire (number: number): void {
+    const pending = this.pending.get(number)
+    pending?.waiting.forEach(watcher => this.unresponsive.recordTimeout(watcher))
+    this.pending.delete(number)
+    pending?.resolve()
+  }
+
+  private isSkipped (address: string): boolean {
+    if (address === this.options.address) {
+      return !this.options.isOwnDataComplete()
+    }
+    return this.unresponsive.has(address)
+  }
+}
--- a/packages/foxtaillever-relay/src/peers/ownUses.ts
+++ b/packages/foxtaillever-relay/src/peers/ownUses.ts
@@ -1,4 +1,4 @@
-/** Load that this instance puts on each backend server, as it tells the others. */
+/** Load that this instance puts on each backend server, as it reports it to the others. */
 import type { KnownServer } from '../servers/knownServer.js'
 import type { ServerUse } from './peerMessage.js'
 
--- a/packages/foxtaillever-relay/src/peers/peerLink.ts
+++ b/packages/foxtaillever-relay/src/peers/peerLink.ts
@@ -1,6 +1,6 @@
 /**
- * Datagrams and calls between instances. Datagrams tell what changes by the
- * second and may be lost; a call brings the records that an instance lacks while
+ * Datagrams and calls between instances. Datagrams carry what changes by the
+ * second and may be lost. A call fetches the records that an instance lacks while
  * the platform's store does not answer it.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
@@ -16,15 +16,15 @@
 import { encodePeerMessage, readPeerMessage, type PeerMessage } from './peerMessage.js'
 import { encodeReadNotice, readReadNotice, type ReadNotice } from './readNotice.js'
 import type { FenceLog } from '../weights/fenceLog.js'
-import { LEASE_PATH, logThrough } from './leaseCalls.js'
-import { ToldTopic } from './toldTopic.js'
+import { LEASE_PATH, createProxiedLog } from './leaseCalls.js'
+import { AnnouncedTopic } from './announcedTopic.js'
 import { encodeWeightsNotice, readWeightsNotice, type WeightsNotice } from './weightsNotice.js'
 
-/** Records from an offset on, and up to where the teller knows the topic. */
-export interface ToldRecords {
+/** Records from an offset on, and up to which offset the sender knows the topic. */
+export interface AnnouncedRecords {
   readonly records: readonly KeyedRecord[]
   readonly position: number
-  /** All keys that there are; undefined where the records name every removal. */
+  /** All existing keys; undefined if the records include every removal. */
   readonly keys: readonly string[] | undefined
 }
 
@@ -34,12 +34,12 @@
   readonly records: ReadonlyArray<{ readonly key: string, readonly value: string | null, readonly offset: number }>
 }
 
-/** Another instance answers from memory, milliseconds. */
-const ANSWER_MS = 600
+/** Timeout of a call in milliseconds; the other instance answers from memory. */
+const CALL_TIMEOUT_MS = 600
 
 export interface PeerLinkOptions {
   readonly clock: Clock
-  /** IP number and port, for datagrams and for calls. */
+  /** IP address and port, for datagrams and calls. */
   readonly host: string
   readonly port: number
   readonly onMessage: (message: PeerMessage) => void
@@ -47,13 +47,13 @@
   readonly onLoad: (message: LoadMessage) => void
   readonly onWeights: (notice: WeightsNotice) => void
   readonly onLimit: (message: LimitMessage) => void
-  /** What this instance knows of a topic from an offset on. */
-  readonly tell: (topic: ToldTopic, from: number) => ToldRecords
-  /** Another instance asks for a call at the lease's log. */
+  /** Returns what this instance knows of a topic from an offset on. */
+  readonly recordsFrom: (topic: AnnouncedTopic, from: number) => AnnouncedRecords
+  /** Handles a call of another instance that uses the lease's log through this one. */
   readonly onLeaseCall: (request: IncomingMessage, search: URLSearchParams, response: ServerResponse) => void
 }
 
-/** Takes in one kind of datagram. */
+/** Handles one kind of datagram. */
 type Receiver = (wire: readonly unknown[]) => void
 
 export class PeerLink {
@@ -61,15 +61,15 @@
   private readonly server: Server
   private readonly connections = new Map<string, ServerConnections>()
   private readonly receivers: Readonly<Record<DatagramKind, Receiver | undefined>>
-  private readonly receiveBeat: Receiver
+  private readonly receiveHeartbeat: Receiver
 
   private constructor (private readonly options: PeerLinkOptions) {
     const { onMessage, onNotice, onLoad, onWeights, onLimit } = options
     const receiveLoad: Receiver = wire => { readLoadMessage(wire).ifJust(onLoad) }
     const receiveLimit: Receiver = wire => { readLimitMessage(wire).ifJust(onLimit) }
-    this.receiveBeat = wire => { readPeerMessage(wire).ifJust(onMessage) }
+    this.receiveHeartbeat = wire => { readPeerMessage(wire).ifJust(onMessage) }
     this.receivers = {
-      [DatagramKind.LoadWord]: receiveLoad,
+      [DatagramKind.ServerLoadReport]: receiveLoad,
       [DatagramKind.LoadQuestion]: receiveLoad,
       [DatagramKind.LoadAnswer]: receiveLoad,
       [DatagramKind.ReadNotice]: wire => { readReadNotice(wire).ifJust(onNotice) },
@@ -87,12 +87,12 @@
         options.onLeaseCall(request, searchParams, response)
         return
       }
-      const topic = Object.values(ToldTopic).find(name => `/records/${name}` === pathname)
+      const topic = Object.values(AnnouncedTopic).find(name => `/records/${name}` === pathname)
       if (topic === undefined) {
         response.writeHead(404).end()
         return
       }
-      response.end(encodeRecords(options.tell(topic, Number(searchParams.get('from')))))
+      response.end(encodeRecords(options.recordsFrom(topic, Number(searchParams.get('from')))))
     })
   }
 
@@ -112,7 +112,7 @@
   private receive (bytes: Uint8Array): void {
     unpackDatagram(bytes).ifJust(wire => {
       const [kind] = wire
-      const receive = typeof kind === 'number' ? this.receivers[kind as DatagramKind] : this.receiveBeat
+      const receive = typeof kind === 'number' ? this.receivers[kind as DatagramKind] : this.receiveHeartbeat
       receive?.(wire)
     })
   }
@@ -129,7 +129,7 @@
     addresses.forEach(address => this.datagrams.send(address, bytes))
   }
 
-  notify (addresses: readonly string[], notice: ReadNotice): void {
+  sendNotice (addresses: readonly string[], notice: ReadNotice): void {
     const bytes = encodeReadNotice(notice)
     addresses.forEach(address => this.datagrams.send(address, bytes))
   }
@@ -142,23 +142,23 @@
     this.datagrams.send(address, encodeLimitMessage(message))
   }
 
-  tellWeights (addresses: readonly string[], notice: WeightsNotice): void {
+  sendWeights (addresses: readonly string[], notice: WeightsNotice): void {
     const bytes = encodeWeightsNotice(notice)
     addresses.forEach(address => this.datagrams.send(address, bytes))
   }
 
-  /** Asks another instance for what it knows of a topic from an offset on. */
-  async ask (address: string, topic: ToldTopic, from: number): Promise<Either<Failure, ToldRecords>> {
+  /** Fetches what another instance knows of a topic from an offset on. */
+  async fetchRecords (address: string, topic: AnnouncedTopic, from: number): Promise<Either<Failure, AnnouncedRecords>> {
     const { clock } = this.options
     const call = { method: 'GET', path: `/records/${topic}?from=${from}`, headers: ['Host', 'peer'], body: Buffer.alloc(0) }
-    const answer = await callServer(this.connectionsTo(address), call, clock, clock.now() + ANSWER_MS)
+    const answer = await callServer(this.connectionsTo(address), call, clock, clock.now() + CALL_TIMEOUT_MS)
     return answer.chain(({ status, body }) => status === 200 ? decodeRecords(body) : Left(malformed(`status ${status}`)))
   }
 
-  /** The lease's log as another instance reaches it. */
-  logThrough (address: string): FenceLog {
+  /** The lease's log, accessed through the instance at the address. */
+  proxiedLog (address: string): FenceLog {
     const { clock } = this.options
-    return logThrough(async call => await callServer(this.connectionsTo(address), call, clock, clock.now() + ANSWER_MS))
+    return createProxiedLog(async call => await callServer(this.connectionsTo(address), call, clock, clock.now() + CALL_TIMEOUT_MS))
   }
 
   private connectionsTo (address: string): ServerConnections {
@@ -175,15 +175,15 @@
   return Failure.create(FailureCode.Internal, Verdict.NotRun, `another instance answered with ${reason}`)
 }
 
-function encodeRecords ({ records, position, keys }: ToldRecords): string {
+function encodeRecords ({ records, position, keys }: AnnouncedRecords): string {
   const wire: WireRecords = { position, keys, records: records.map(({ key, value, offset }) => ({ key, offset, value: value?.toString('base64') ?? null })) }
   return JSON.stringify(wire)
 }
 
-function decodeRecords (body: Buffer): Either<Failure, ToldRecords> {
+function decodeRecords (body: Buffer): Either<Failure, AnnouncedRecords> {
   return Either.encase(() => JSON.parse(body.toString()) as WireRecords)
     .mapLeft(({ message }) => malformed(message))
     .chain(({ position, records, keys }) => typeof position === 'number' && Array.isArray(records)
       ? Right({ position, keys: Array.isArray(keys) ? keys : undefined, records: records.map(({ key, value, offset }) => ({ key, offset, value: value === null ? undefined : Buffer.from(value, 'base64') })) })
-      : Left(malformed('another form')))
+      : Left(malformed('an unexpected form')))
 }
--- a/packages/foxtaillever-relay/src/peers/peerMessage.ts
+++ b/packages/foxtaillever-relay/src/peers/peerMessage.ts
@@ -1,11 +1,11 @@
-/** What instances tell each other of themselves with each beat, by datagram. */
+/** What an instance reports about itself to the others with each heartbeat, by datagram. */
 import type { SpeedWord } from 'foxtaillever-policy/relay/prefillSpeed'
 import type { ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
 import type { StoreWord } from 'foxtaillever-policy/relay/storeReach'
 import { Maybe } from 'purify-ts'
 import { packDatagram } from './datagram.js'
 
-/** How far an instance knows a topic. */
+/** Up to which offset an instance knows each topic. */
 export interface Positions {
   readonly operators: number
   readonly servers: number
@@ -17,26 +17,26 @@
   readonly server: number
 }
 
-/** An engine's weights, as the one who orders them knows. */
-export interface WeightsNews {
+/** An engine's weights, as known to the instance that orders them. */
+export interface WeightsUpdate {
   /** Hash of its incarnation. */
   readonly server: number
   readonly model: string
-  /** The one that it has, or will have after the change. */
+  /** The version that the engine has, or will have after the change. */
   readonly version: number
-  /** It takes nothing new for as long, milliseconds; 0 when it has the version. */
+  /** Milliseconds for which the engine accepts no new requests; 0 once it has the version. */
   readonly changingMs: number
 }
 
-/** Weights that operators named. */
-export interface NamedNews {
+/** Weights named by operators. */
+export interface NamedWeightsUpdate {
   readonly model: string
   readonly version: number
-  /** Since they were learned, milliseconds. */
+  /** Milliseconds since the sender learned of them. */
   readonly ageMs: number
 }
 
-/** Engines that have the newest weights, as far as the teller knows. */
+/** Engines that have the newest weights, as far as the sender knows. */
 export interface CurrentEngines {
   readonly model: string
   readonly version: number
@@ -45,59 +45,59 @@
 }
 
 /** The newest record of the lease that is known. */
-export interface LeaseNews {
+export interface LeaseUpdate {
   readonly offset: number
   readonly holder: string
-  /** Since it was appended, milliseconds at most. */
+  /** Milliseconds since it was appended, at most. */
   readonly ageMs: number
 }
 
-/** How fast the engines of a service read prompts, as the teller observed. */
-export interface SpeedNews extends SpeedWord {
+/** How fast the engines of a service read prompts, as the sender observed. */
+export interface SpeedUpdate extends SpeedWord {
   readonly service: string
 }
 
-/** What a backend server stated of its limit last, as far as the teller knows. */
-export interface LimitNews {
+/** What a backend server last stated about its limit, as far as the sender knows. */
+export interface LimitUpdate {
   /** Hash of its incarnation. */
   readonly server: number
-  /** Requests from all instances together; undefined once it states no limit. */
+  /** Requests a second from all instances together; undefined once the server states no limit. */
   readonly perSecond: number | undefined
-  /** Since it was stated, milliseconds. */
+  /** Milliseconds since it was stated. */
   readonly ageMs: number
 }
 
 export interface PeerMessage {
   readonly name: string
-  /** IP number and port for datagrams and calls. */
+  /** IP address and port for datagrams and calls. */
   readonly address: string
   readonly failureDomain: string
   /** Start of the process, milliseconds of Unix time. */
   readonly startedAt: number
   readonly isLeaving: boolean
-  /** The platform's store answers this instance. */
+  /** Whether the platform's store answers the sender. */
   readonly hasStore: boolean
   readonly positions: Positions
-  /** Of the configuration that it acts by; -1 before the first. */
+  /** Revision of the configuration in force at the sender; -1 before the first. */
   readonly revision: number
-  readonly lease: LeaseNews | undefined
-  /** Load that it puts on servers itself; in a large fleet on the store of cached levels only. */
+  readonly lease: LeaseUpdate | undefined
+  /** Load that the sender itself puts on servers; in a large fleet only on the store of cached levels. */
   readonly uses: readonly ServerUse[]
-  /** Load of all instances on the servers that it watches for the fleet. */
+  /** Load of all instances on the servers that the sender watches for the fleet. */
   readonly sums: readonly ServerUse[]
-  /** Since when which weights are replaced: the store keeps the newest only, and says of none when it was named. */
-  readonly named: readonly NamedNews[]
-  /** Digests of requests that crash backend servers. */
+  /** When weights were named: the store keeps only the newest, without the time at which they were named. */
+  readonly named: readonly NamedWeightsUpdate[]
+  /** Digests of requests suspected of crashing backend servers. */
   readonly suspects: readonly string[]
-  /** Hashes of prompt levels that it had saved to the store of cached levels of late. */
+  /** Hashes of prompt levels that the sender recently had saved to the store of cached levels. */
   readonly savedLevels: readonly number[]
   readonly current: readonly CurrentEngines[]
-  /** What it found at the stores of cached levels that it watches. */
+  /** Reachability of the stores of cached levels that the sender watches. */
   readonly stores: readonly StoreWord[]
-  /** Of services of which it has seen enough, for instances that have just started. */
-  readonly speeds: readonly SpeedNews[]
-  readonly limits: readonly LimitNews[]
-  /** Instances that it reckons with, itself included: one that has just started knows few of them. */
+  /** Speeds of services that the sender has observed enough, for instances that have just started. */
+  readonly speeds: readonly SpeedUpdate[]
+  readonly limits: readonly LimitUpdate[]
+  /** Number of instances that the sender counts, itself included; an instance that has just started knows few by itself. */
   readonly instances: number
 }
 
@@ -122,7 +122,7 @@
 
 type WireUse = readonly [number, number, number, number?]
 
-/** Memory is told in units of so many tokens, so that a beat of a small fleet stays within its budget: as much as a short prompt. */
+/** Held tokens are sent in units of this size, that of a short prompt, so that a heartbeat of a small fleet stays within its budget. */
 const HELD_UNIT = 512
 
 function packUse ({ server, outstanding, tokens, heldTokens }: ServerUse): WireUse {
@@ -159,12 +159,12 @@
   return HEAD.every((type, index) => nameOfType(value[index]) === type) && value.slice(9, 12).every(part => Array.isArray(part))
 }
 
-/** A rate that is none would close a server for good. */
+/** Rejects invalid rates: one would stop all requests to a server permanently. */
 function isStatement ([server, perSecond, ageMs]: readonly [number, number | null, number]): boolean {
   return [server, perSecond ?? 0, ageMs].every(value => Number.isFinite(value) && value >= 0)
 }
 
-/** Nothing for a datagram of another form: an instance of another release may send it. */
+/** Nothing for a datagram of another form, which an instance of another release may send. */
 export function readPeerMessage (datagram: readonly unknown[]): Maybe<PeerMessage> {
   return Maybe.of(datagram).filter(isWire).chain(wire => Maybe.encase(() => {
     const [name, address, failureDomain, startedAt, isLeaving, hasStore, operators, servers, lease, uses, suspects, savedLevels, named = [], current = [], sums = [], stores = [], instances = 1, speeds = [], limits = [], revision = -1] = wire
--- a/packages/foxtaillever-relay/src/peers/peerTable.ts
+++ b/packages/foxtaillever-relay/src/peers/peerTable.ts
@@ -1,25 +1,25 @@
-/** The other instances as this one hears them. */
+/** Table of the other instances, by the heartbeats received from them. */
 import type { PeerMessage } from './peerMessage.js'
 
-/** One instance, and when it was last heard. */
+/** Another instance and the last message received from it. */
 export interface Peer {
   readonly address: string
-  readonly last: PeerMessage | undefined
-  /** Milliseconds of Unix time; when it was first named, for one that was never heard. */
-  readonly heardAt: number
+  readonly lastMessage: PeerMessage | undefined
+  /** When the last message was received, or the address was added if none was; milliseconds of Unix time. */
+  readonly receivedAt: number
 }
 
-/** Three beats may be lost before an instance counts as gone, milliseconds. */
+/** Milliseconds without a heartbeat after which an instance counts as gone: three heartbeats may be lost. */
 const SILENT_MS = 3500
 
-/** A datagram is not this late after a later one of the same machine, milliseconds. */
+/** A datagram never arrives this many milliseconds after a later one of the same machine. */
 const LATE_MS = 1500
 
-/** One that is cut off still sends retries of its own; it counts for this long, milliseconds. */
+/** An instance that is cut off still sends retries of its own; it is counted for this many milliseconds. */
 const COUNTED_MS = 30_000
 
-/** One that was named but never heard is greeted for this long, milliseconds. */
-const FORGOTTEN_MS = 120_000
+/** An address that never sent a message still gets heartbeats for this many milliseconds. */
+const EXPIRY_MS = 120_000
 
 export class PeerTable {
   private readonly peers = new Map<string, Peer>()
@@ -30,39 +30,39 @@
     return new PeerTable()
   }
 
-  /** An address at which an instance may be. */
-  name (address: string, now: number): void {
+  /** Adds an address at which an instance may be. */
+  addAddress (address: string, now: number): void {
     if (!this.peers.has(address)) {
-      this.peers.set(address, { address, last: undefined, heardAt: now })
+      this.peers.set(address, { address, lastMessage: undefined, receivedAt: now })
     }
   }
 
   /**
-   * Takes a message in, unless it is a late one of an earlier process at the
-   * address. Starts are told by the time of day, which may have stepped back
-   * between two of them: what keeps coming after the known process fell silent
-   * is the later process.
-   * @returns whether it was taken.
+   * Records a message, unless it is a late one of an earlier process at the
+   * address. Start times are taken from the wall clock, which may have stepped
+   * back between two starts: messages that keep arriving after the known process
+   * fell silent are from the later process.
+   * @returns whether the message was recorded.
    */
-  hear (message: PeerMessage, now: number): boolean {
+  recordMessage (message: PeerMessage, now: number): boolean {
     const known = this.peers.get(message.address)
-    const isLate = known?.last !== undefined && message.startedAt < known.last.startedAt && now < known.heardAt + LATE_MS
+    const isLate = known?.lastMessage !== undefined && message.startedAt < known.lastMessage.startedAt && now < known.receivedAt + LATE_MS
     if (!isLate) {
-      this.peers.set(message.address, { address: message.address, last: message, heardAt: now })
+      this.peers.set(message.address, { address: message.address, lastMessage: message, receivedAt: now })
     }
     return !isLate
   }
 
-  /** Run at each beat. */
+  /** Removes addresses that have been silent for too long; called with each heartbeat. */
   expire (now: number): void {
-    for (const [address, { heardAt }] of this.peers) {
-      if (heardAt + FORGOTTEN_MS <= now) {
+    for (const [address, { receivedAt }] of this.peers) {
+      if (receivedAt + EXPIRY_MS <= now) {
         this.peers.delete(address)
       }
     }
   }
 
-  /** How many may be there, heard or not. */
+  /** Number of known addresses, whether or not a message arrived from them. */
   get size (): number {
     return this.peers.size
   }
@@ -71,60 +71,61 @@
     return this.peers.has(address)
   }
 
-  /** What was last heard of the instance at the address. */
-  last (address: string): PeerMessage | undefined {
-    return this.peers.get(address)?.last
+  /** The last message received from the instance at the address. */
+  lastMessage (address: string): PeerMessage | undefined {
+    return this.peers.get(address)?.lastMessage
   }
 
-  /** Everyone who may be there, heard or not. */
+  /** All known addresses, whether or not a message arrived from them. */
   all (): readonly Peer[] {
     return [...this.peers.values()]
   }
 
-  /** Those heard of late that do not leave. */
+  /** Instances with a recent message that are not leaving. */
   alive (now: number): PeerMessage[] {
-    return this.all().flatMap(({ last, heardAt }) => last && !last.isLeaving && heardAt + SILENT_MS > now ? [last] : [])
+    return this.all().flatMap(({ lastMessage, receivedAt }) => lastMessage && !lastMessage.isLeaving && receivedAt + SILENT_MS > now ? [lastMessage] : [])
   }
 
   /**
-   * Those that are likely there and do not leave. In a large fleet a beat goes to
-   * some of the others only, so silence says something after more beats.
-   * @param receivers others that hear one beat.
+   * Instances that are probably alive and not leaving. In a large fleet a heartbeat
+   * goes to some of the others only, so silence means little until more heartbeats
+   * have passed.
+   * @param receivers number of instances that receive one heartbeat.
    */
   likely (now: number, receivers: number): PeerMessage[] {
     const silentMs = SILENT_MS * Math.max(1, this.peers.size / receivers)
-    return this.all().flatMap(({ last, heardAt }) => last && !last.isLeaving && heardAt + silentMs > now ? [last] : [])
+    return this.all().flatMap(({ lastMessage, receivedAt }) => lastMessage && !lastMessage.isLeaving && receivedAt + silentMs > now ? [lastMessage] : [])
   }
 
   /**
-   * Instances to reckon with, this one included, also while they cannot be heard.
-   * Addresses that were only named count too: parts of what all may do together
-   * must not grow because a machine is cut off, and a stale address costs little.
+   * Number of instances, this one included, also while no message arrives from them.
+   * Addresses that never sent a message count too: an instance's share of a common
+   * limit must not grow because a machine is cut off, and a stale address costs little.
    */
   known (now: number): number {
     return 1 + this.counted(now).length
   }
 
-  /** Like known, or what the others know where that is more: one that has just started while the store is dark knows few by itself. */
+  /** Like `known`, or the largest number that another instance reports: an instance that starts while the store is unreachable knows few by itself. */
   count (now: number): number {
-    return Math.max(this.known(now), ...this.counted(now).map(({ last }) => last?.instances ?? 0))
+    return Math.max(this.known(now), ...this.counted(now).map(({ lastMessage }) => lastMessage?.instances ?? 0))
   }
 
   /**
-   * Addresses of those that were there of late and do not leave, in their order.
-   * One that is cut off or starts again stays among them, so that what is
-   * computed from them does not move with every silence.
+   * Sorted addresses of counted instances that are not leaving. An instance that is
+   * cut off or restarts stays among them, so that what is computed from them does
+   * not change with every silence.
    */
   lasting (now: number): string[] {
-    return this.counted(now).flatMap(({ address, last }) => last?.isLeaving === true ? [] : [address]).sort()
+    return this.counted(now).flatMap(({ address, lastMessage }) => lastMessage?.isLeaving === true ? [] : [address]).sort()
   }
 
-  /** Whether this instance knows as many as any of the others does. */
+  /** Whether this instance knows at least as many instances as any other reports. */
   knowsAll (now: number): boolean {
-    return this.counted(now).some(({ last }) => last !== undefined) && this.known(now) >= this.count(now)
+    return this.counted(now).some(({ lastMessage }) => lastMessage !== undefined) && this.known(now) >= this.count(now)
   }
 
   private counted (now: number): Peer[] {
-    return this.all().filter(({ heardAt }) => heardAt + COUNTED_MS > now)
+    return this.all().filter(({ receivedAt }) => receivedAt + COUNTED_MS > now)
   }
 }
--- a/packages/foxtaillever-relay/src/peers/readNotice.ts
+++ b/packages/foxtaillever-relay/src/peers/readNotice.ts
@@ -1,48 +1,48 @@
 /**
- * What an instance tells the others after each of its readings of the platform's
- * store: how far it is, and what is new. Small, because it goes out more than
- * once a second: arrays by position.
+ * Notice that an instance sends to the others after each read of the platform's
+ * store: its read positions and the new records. It is sent more than once a
+ * second, so it is kept small: positional arrays.
  */
 import { Maybe } from 'purify-ts'
 import type { KeyedRecord } from '../knowledge/keyedLog.js'
 import { DatagramKind, packDatagram } from './datagram.js'
-import { ToldTopic } from './toldTopic.js'
+import { AnnouncedTopic } from './announcedTopic.js'
 
-/** How far a topic was read. */
+/** Up to which offset a topic was read. */
 export interface ReadPosition {
-  /** Everything before this offset is known to the teller. */
+  /** The sender knows everything before this offset. */
   readonly position: number
-  /** No record from this offset on said anything new. */
+  /** No record from this offset on changed anything. */
   readonly changed: number
 }
 
-/** Records that are new to one who knows everything before an offset. */
-export interface ToldNews {
-  readonly topic: ToldTopic
+/** Records that are new to an instance that knows everything before the offset `from`. */
+export interface NewRecords {
+  readonly topic: AnnouncedTopic
   readonly from: number
   readonly records: readonly KeyedRecord[]
 }
 
 export interface ReadNotice {
   readonly address: string
-  /** The servers' entries are known as of now. */
+  /** Whether the sender's knowledge of the servers' entries is current. */
   readonly isFresh: boolean
-  /** The teller waits at the store for operators' changes. */
+  /** Whether the sender waits at the store for operators' changes. */
   readonly isWatching: boolean
-  readonly positions: Readonly<Record<ToldTopic, ReadPosition>>
-  readonly news: ToldNews | undefined
+  readonly positions: Readonly<Record<AnnouncedTopic, ReadPosition>>
+  readonly newRecords: NewRecords | undefined
 }
 
-/** Records beyond this are asked for instead: a datagram of more than a frame is lost more often, bytes. */
-const MOST_NEWS_BYTES = 1100
+/** Maximum size of new records in a notice, bytes. Larger ones are fetched by a call, because a datagram that exceeds a frame is lost more often. */
+const MAX_NEW_RECORDS_BYTES = 1100
 
-/** The news, if they fit into a datagram. */
-export function limitNews (news: ToldNews): ToldNews | undefined {
-  const bytes = news.records.reduce((sum, { key, value }) => sum + key.length + (value?.length ?? 0), 0)
-  return bytes <= MOST_NEWS_BYTES ? news : undefined
+/** Returns the new records if they fit into a datagram. */
+export function limitNewRecords (newRecords: NewRecords): NewRecords | undefined {
+  const bytes = newRecords.records.reduce((sum, { key, value }) => sum + key.length + (value?.length ?? 0), 0)
+  return bytes <= MAX_NEW_RECORDS_BYTES ? newRecords : undefined
 }
 
-/** Only a little is new before a position, so the difference takes fewer bytes than a second one. */
+/** `changed` is close to `position`, so their difference takes fewer bytes than a second offset. */
 function packPosition ({ position, changed }: ReadPosition): [position: number, unchanged: number] {
   return [position, position - changed]
 }
@@ -51,17 +51,17 @@
   return { position, changed: position - unchanged }
 }
 
-export function encodeReadNotice ({ address, isFresh, isWatching, positions, news }: ReadNotice): Buffer {
+export function encodeReadNotice ({ address, isFresh, isWatching, positions, newRecords }: ReadNotice): Buffer {
   const { operators, servers } = positions
   return packDatagram([
     DatagramKind.ReadNotice, address, isFresh, isWatching, ...packPosition(operators), ...packPosition(servers),
-    news === undefined ? null : [news.topic, news.from, news.records.map(({ key, value, offset }) => [key, value ?? null, offset])]
+    newRecords === undefined ? null : [newRecords.topic, newRecords.from, newRecords.records.map(({ key, value, offset }) => [key, value ?? null, offset])]
   ])
 }
 
 type Wire = readonly [
   number, string, boolean, boolean, number, number, number, number,
-  readonly [ToldTopic, number, ReadonlyArray<readonly [string, Uint8Array | null, number]>] | null
+  readonly [AnnouncedTopic, number, ReadonlyArray<readonly [string, Uint8Array | null, number]>] | null
 ]
 
 const TYPES = ['number', 'string', 'boolean', 'boolean', 'number', 'number', 'number', 'number']
@@ -77,21 +77,21 @@
 /** Nothing for a datagram of another form. */
 export function readReadNotice (datagram: readonly unknown[]): Maybe<ReadNotice> {
   return Maybe.of(datagram).filter(isWire).chain(wire => Maybe.encase(() => {
-    const [, address, isFresh, isWatching, operators, operatorsUnchanged, servers, serversUnchanged, news] = wire
+    const [, address, isFresh, isWatching, operators, operatorsUnchanged, servers, serversUnchanged, newRecords] = wire
     return {
       address,
       isFresh,
       isWatching,
       positions: {
-        [ToldTopic.Operators]: readPosition(operators, operatorsUnchanged),
-        [ToldTopic.Servers]: readPosition(servers, serversUnchanged)
+        [AnnouncedTopic.Operators]: readPosition(operators, operatorsUnchanged),
+        [AnnouncedTopic.Servers]: readPosition(servers, serversUnchanged)
       },
-      news: news === null
+      newRecords: newRecords === null
         ? undefined
         : {
-            topic: news[0],
-            from: news[1],
-            records: news[2].map(([key, value, offset]) => ({ key, offset, value: value === null ? undefined : Buffer.from(value) }))
+            topic: newRecords[0],
+            from: newRecords[1],
+            records: newRecords[2].map(([key, value, offset]) => ({ key, offset, value: value === null ? undefined : Buffer.from(value) }))
           }
     }
   }))
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -10,7 +10,7 @@
 import { MemberBook } from './knowledge/memberBook.js'
 import { StartCheck } from './knowledge/startCheck.js'
 import type { Routing } from './model/routing.js'
-import { createOwnWord, takePeerMessage, takeWeightsNotice, type BeatParts } from './peers/beatContents.js'
+import { createOwnReport, applyPeerMessage, applyWeightsNotice, type HeartbeatParts } from './peers/heartbeatContents.js'
 import { answerLeaseCall } from './peers/leaseCalls.js'
 import { ownUses } from './peers/ownUses.js'
 import { Peers } from './peers/peers.js'
@@ -60,11 +60,11 @@
 
   private constructor (private readonly options: RelayOptions) {
     const { clock, random, logs, callerWire } = options
-    this.log = RelayLog.create(logs, service => this.state.brief(service))
+    this.log = RelayLog.create(logs, service => this.state.summarize(service))
     this.graceMs = options.graceMs
     this.desk = this.createDesk()
     this.state = this.createState()
-    this.state.addTo(this.log.metrics)
+    this.state.registerGauges(this.log.metrics)
     this.figures = MetricsServer.create({ render: () => this.log.metrics.render(), dump: () => this.dump() })
     this.peers = this.createPeers()
     this.limits = createLimitProtocols({ clock, quotaTolerance: options.quotaTolerance, peers: this.peers, log: this.log })
@@ -90,7 +90,7 @@
     const { callers, readiness, metrics, seeds } = this.options
     this.log.belief('Starting.', { pid: process.pid })
     await this.peers.start()
-    this.peers.nameAll(seeds)
+    this.peers.addAddresses(seeds)
     this.knowledge.start()
     this.desk.caches.watch.start()
     this.note(this.memberBook.enter())
@@ -106,7 +106,7 @@
   apply ({ seeds, retryAllowance, graceMs }: RunningSettings): void {
     this.graceMs = graceMs
     this.desk.retries.setAllowance(retryAllowance)
-    this.peers.nameAll(seeds)
+    this.peers.addAddresses(seeds)
   }
 
   /** Leaves: not ready at once, serving until the balancer has noticed and the last answer is out. */
@@ -119,7 +119,7 @@
     const until = clock.now() + this.graceMs * (1 - GRACE_KEPT_FREE)
     this.log.belief('Leaving.', { requests: this.desk.runs.size })
     this.callers.leave()
-    this.peers.send()
+    this.peers.sendHeartbeat()
     await waitUntil(clock, clock.now() + STOP_LISTENING_MS)
     this.callers.close()
     while (this.desk.runs.size > 0 && clock.now() < until) {
@@ -153,20 +153,20 @@
       weightsBoundMs,
       suspects: this.suspects,
       quota: AccountQuotas.create({ clock, log: this.log, protocol: () => this.limits[LimitScope.Account], revision: () => this.revision }),
-      use: { of: hash => this.peers.use.of(hash) },
+      use: { of: hash => this.peers.fleetLoad.of(hash) },
       othersTokens: store => this.peers.tokensFrom(store),
       cacheStoreCalls,
       ownAddress: () => this.peers.address,
       watchersOf: store => this.peers.watchers.of(store),
-      onLoadChanged: () => this.peers.loads.noteChange(),
-      onUnreachable: ({ hash }) => this.peers.loads.noteUnreachable(hash),
-      onRestAsked: ({ hash }) => this.peers.loads.noteResting(hash),
-      tellAll: () => this.peers.send(),
-      askLoad: wish => this.peers.loads.ask(wish()),
-      onSaved: level => this.peers.loads.noteSaved(level),
+      onLoadChanged: () => this.peers.loadProtocol.noteChange(),
+      onUnreachable: ({ hash }) => this.peers.loadProtocol.reportUnreachable(hash),
+      onRestAsked: ({ hash }) => this.peers.loadProtocol.reportBackingOff(hash),
+      tellAll: () => this.peers.sendHeartbeat(),
+      askLoad: wish => this.peers.loadProtocol.query(wish()),
+      onSaved: level => this.peers.loadProtocol.reportSaved(level),
       limitProtocol: () => this.limits[LimitScope.Server],
-      onLimitChanged: () => this.peers.tellSoon(),
-      onStoreRestarted: () => this.peers.loads.forgetSaved(),
+      onLimitChanged: () => this.peers.sendSoon(),
+      onStoreRestarted: () => this.peers.loadProtocol.forgetSaved(),
       weights: { outdatedSince: (model, version) => this.office.desk.outdatedSince(model, version) },
       routing: () => this.table?.routing,
       onServerChanged: () => this.office.desk.run(),
@@ -190,18 +190,18 @@
       name,
       failureDomain,
       ...peers,
-      word: () => createOwnWord(this.beatParts()),
+      ownReport: () => createOwnReport(this.beatParts()),
       lease: () => this.office.lease.news(),
-      tell: (topic, from) => this.knowledge.tell(topic, from),
-      onMessage: message => takePeerMessage(this.beatParts(), message),
+      recordsFrom: (topic, from) => this.knowledge.tell(topic, from),
+      onMessage: message => applyPeerMessage(this.beatParts(), message),
       ownUses: () => ownUses(this.desk.directory.all()),
-      isAskedFor: server => (this.desk.directory.ofHash(server)?.weights.size ?? 0) > 0,
+      isQueried: server => (this.desk.directory.ofHash(server)?.weights.size ?? 0) > 0,
       onSaved: levels => this.desk.caches.savedLevels.hear(levels, clock.now()),
       onUnreachable: hash => this.desk.hearUnreachable(hash),
-      onResting: hash => this.desk.hearResting(hash),
-      onPassedOver: peer => this.log.belief('An instance does not answer questions of load; its second is asked.', { peer }),
+      onBackingOff: hash => this.desk.hearResting(hash),
+      onUnresponsive: peer => this.log.belief('An instance does not answer questions of load; its second is asked.', { peer }),
       onNotice: notice => this.knowledge.hear(notice),
-      onWeights: notice => takeWeightsNotice(this.office, notice),
+      onWeights: notice => applyWeightsNotice(this.office, notice),
       onLeaseCall: (request, search, response) => this.lendLease(request, search, response),
       onLimit: message => this.limits[message.scope].hear(message),
       isLeaving: () => this.isLeaving,
@@ -263,14 +263,14 @@
     })
   }
 
-  private beatParts (): BeatParts {
+  private beatParts (): HeartbeatParts {
     const { options: { clock }, desk, suspects, peers, knowledge, office, isLeaving, revision } = this
-    return { clock, desk, suspects, peers, knowledge, office, isLeaving, revision }
+    return { clock, exchanges: desk, suspects, peers, knowledge, orders: office, isLeaving, revision }
   }
 
   /** The store names all that ever entered. */
   private meet (addresses: readonly string[]): void {
-    this.peers.nameAll(addresses)
+    this.peers.addAddresses(addresses)
     this.desk.observeInstances(this.peers.count())
   }
 
--- a/packages/foxtaillever-relay/src/servers/__tests__/serverChoice.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/serverChoice.test.ts
@@ -2,7 +2,7 @@
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { exchangeAt } from '../../__fixtures__/exchanges.js'
 import { ServerState } from '../../model/listedServer.js'
-import { FleetUse } from '../../peers/fleetUse.js'
+import { FleetLoad } from '../../peers/fleetLoad.js'
 import { ServerChoice } from '../serverChoice.js'
 import { ServerDirectory } from '../serverDirectory.js'
 
@@ -19,7 +19,7 @@
     engine.outstanding = outstanding
   }
   const weights = { outdatedSince: () => clock.now() - outdatedMs }
-  const choice = ServerChoice.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, use: FleetUse.create(clock), levelSupply: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 0 }), stores: () => [], weights, weightsBoundMs: BOUND_MS })
+  const choice = ServerChoice.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, use: FleetLoad.create(clock), levelSupply: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 0 }), stores: () => [], weights, weightsBoundMs: BOUND_MS })
   return choice.place(exchangeAt(clock.now()), { failed: new Set(), wasMisdirected: false }) !== undefined
 }
 
@@ -27,14 +27,14 @@
 function chooseAmong (asked: ReadonlyMap<string, number>, changing: readonly string[] = [], resting: readonly string[] = []): string | undefined {
   const clock = VirtualClock.create()
   const directory = ServerDirectory.create({ onChanged: () => {} })
-  const use = FleetUse.create(clock)
+  const use = FleetLoad.create(clock)
   for (let index = 0; index < 20; index += 1) {
     const id = `e${index}`
     directory.observe({ id, startedAt: 0, service: 'engines', address: `127.0.0.1:${index + 1}`, failureDomain: 'a', slots: SLOTS, state: ServerState.Ready, coldLeftMs: 0, weights: new Map([['model', 1]]) }, index)
     const engine = directory.get(id)
     const tokens = asked.get(id)
     if (engine && tokens !== undefined) {
-      use.learn(engine.hash, { outstanding: 4, tokens, heldTokens: 0 })
+      use.setWatchedLoad(engine.hash, { outstanding: 4, tokens, heldTokens: 0 })
       engine.changingUntil = changing.includes(id) ? Infinity : 0
       engine.restingForOthersUntil = resting.includes(id) ? Infinity : 0
     }
@@ -71,7 +71,7 @@
     for (let index = 0; index < 20; index += 1) {
       directory.observe({ id: `e${index}`, startedAt: 0, service: 'engines', address: `127.0.0.1:${index + 1}`, failureDomain: 'a', slots: 16, state: ServerState.Ready, coldLeftMs: 0, weights: new Map([['model', 1]]) }, index)
     }
-    const choice = ServerChoice.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, use: FleetUse.create(clock), levelSupply: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 628 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
+    const choice = ServerChoice.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, use: FleetLoad.create(clock), levelSupply: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 628 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
     for (let run = 0; run < 64; run += 1) {
       const prompt = { model: 'model', levels: [{ id: `subject-${run}`, tokens: 198 }, { id: `own-${run}`, tokens: 628 }], promptTokens: 826, outputTokens: 500 }
       const engine = choice.place(exchangeAt(clock.now(), { service: 'engines', prompt }), { failed: new Set(), wasMisdirected: false })
--- a/packages/foxtaillever-relay/src/servers/serverChoice.ts
+++ b/packages/foxtaillever-relay/src/servers/serverChoice.ts
@@ -6,7 +6,7 @@
 import type { Exchange } from '../model/exchange.js'
 import type { CacheStore } from '../model/routing.js'
 import type { LevelSupply } from '../cache/levelSupply.js'
-import type { FleetUse } from '../peers/fleetUse.js'
+import type { FleetLoad } from '../peers/fleetLoad.js'
 import type { WeightsDesk } from '../weights/weightsDesk.js'
 import type { KnownServer } from './knownServer.js'
 import type { ServerDirectory } from './serverDirectory.js'
@@ -61,7 +61,7 @@
   readonly directory: ServerDirectory
   /** Stores of cached prompt levels. */
   readonly stores: () => readonly CacheStore[]
-  readonly use: Pick<FleetUse, 'of'>
+  readonly use: Pick<FleetLoad, 'of'>
   /** How the levels of a prompt would come to an engine. */
   readonly levelSupply: (exchange: Exchange) => LevelSupply
   readonly weights: Pick<WeightsDesk, 'outdatedSince'>
--- a/packages/foxtaillever-relay/src/servers/serverDirectory.ts
+++ b/packages/foxtaillever-relay/src/servers/serverDirectory.ts
@@ -14,7 +14,7 @@
 import { StatedState } from 'foxtaillever-policy/relay/statedState'
 import { saysSame, ServerState, type ListedServer } from '../model/listedServer.js'
 import type { Routing } from '../model/routing.js'
-import type { SpeedNews } from '../peers/peerMessage.js'
+import type { SpeedUpdate } from '../peers/peerMessage.js'
 import { createKnownServer, type KnownServer } from './knownServer.js'
 import { ServerConnections } from './serverConnections.js'
 import { ServerExperience } from './serverExperience.js'
@@ -256,7 +256,7 @@
   }
 
   /** What this instance has seen enough of to tell it. */
-  speedsToTell (): SpeedNews[] {
+  speedsToTell (): SpeedUpdate[] {
     return [...this.experience.prefillSpeeds].flatMap(([service, { tokensPerMs, samples }]) =>
       samples >= SETTLED_SAMPLES && this.isServed(service) ? [{ service, tokensPerMs, samples }] : [])
   }
--- a/packages/foxtaillever-relay/src/telemetry/relayState.ts
+++ b/packages/foxtaillever-relay/src/telemetry/relayState.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance believes at one instant: briefly beside each failure, so that
- * its cause can be told from one line, and whole when somebody asks.
+ * Current state of an instance: a summary for each failure's log line, so that
+ * its cause can be determined from that line, and a full dump on request.
  */
 import type { Clock } from 'foxtaillever-core'
 import type { Metrics, Subject } from 'foxtaillever-telemetry'
@@ -21,7 +21,7 @@
   readonly peers: () => Peers
   readonly knowledge: () => Knowledge
   readonly lease: () => OrderLease
-  /** Requests that are not answered yet. */
+  /** Number of requests that are not yet answered. */
   readonly open: () => number
   readonly isReady: () => boolean
 }
@@ -33,8 +33,8 @@
     return new RelayState(options)
   }
 
-  /** Beside a failure: the configuration's revision, and the servers that could have taken the request. */
-  brief (service?: string): Subject {
+  /** Summary for a failure: the configuration's revision, and the servers that could have taken the request. */
+  summarize (service?: string): Subject {
     const { clock, routing, directory, knowledge } = this.options
     const common = { revision: routing()?.revision, store: knowledge().hasStore ? 'answers' : 'dark' }
     if (service === undefined) {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** All of it, without secrets, for an operator. */
+  /** The full state for an operator, without secrets. */
   dump (): object {
     const { name, clock, routing, directory, peers, knowledge, lease, open, isReady } = this.options
     const now = clock.now()
@@ -67,7 +67,7 @@
       lease: { isHeld: lease().fence() !== undefined, ...lease().news() },
       servers: directory.all().map(server => this.describe(server, now)),
       reading: Object.fromEntries([...directory.experience.prefillSpeeds].map(([service, { tokensPerMs, samples }]) => [service, { tokensPerMs, samples }])),
-      instances: peers().table.all().map(({ address, last, heardAt }) => ({ address, name: last?.name, failureDomain: last?.failureDomain, heardMsAgo: now - heardAt }))
+      instances: peers().table.all().map(({ address, lastMessage, receivedAt }) => ({ address, name: lastMessage?.name, failureDomain: lastMessage?.failureDomain, heardMsAgo: now - receivedAt }))
     }
   }
 
@@ -85,8 +85,8 @@
     }
   }
 
-  /** Figures that are read when the metrics are. */
-  addTo (metrics: Metrics): void {
+  /** Registers gauges whose values are read whenever the metrics are. */
+  registerGauges (metrics: Metrics): void {
     const { routing, directory, peers, knowledge, lease, open, isReady } = this.options
     metrics.gauge('ready', () => Number(isReady()))
     metrics.gauge('open_requests', open)
--- a/packages/foxtaillever-relay/src/weights/__fixtures__/orderingFleet.ts
+++ b/packages/foxtaillever-relay/src/weights/__fixtures__/orderingFleet.ts
@@ -4,7 +4,7 @@
 import { VirtualClock } from 'foxtaillever-testing'
 import { ServerState } from '../../model/listedServer.js'
 import type { Routing } from '../../model/routing.js'
-import type { LeaseNews, WeightsNews } from '../../peers/peerMessage.js'
+import type { LeaseUpdate, WeightsUpdate } from '../../peers/peerMessage.js'
 import { ServerDirectory } from '../../servers/serverDirectory.js'
 import { RelayLog } from '../../telemetry/relayLog.js'
 import type { FenceLog } from '../fenceLog.js'
@@ -124,7 +124,7 @@
     }, offset)
   }
 
-  hear (lease: LeaseNews | undefined, news: readonly WeightsNews[]): void {
+  hear (lease: LeaseUpdate | undefined, news: readonly WeightsUpdate[]): void {
     if (lease) {
       this.lease.observe(lease)
     }
@@ -176,7 +176,7 @@
   }
 
   /** Datagrams, of which some are lost. */
-  send (from: Instance, lease: LeaseNews | undefined, news: readonly WeightsNews[] = []): void {
+  send (from: Instance, lease: LeaseUpdate | undefined, news: readonly WeightsUpdate[] = []): void {
     for (const other of this.instances.filter(instance => instance !== from && !instance.isCut && !from.isCut)) {
       if (this.random.next() >= this.lostShare) {
         other.clock.at(this.clock.now() + DATAGRAM_MS, () => other.hear(lease, news))
--- a/packages/foxtaillever-relay/src/weights/namedWeights.ts
+++ b/packages/foxtaillever-relay/src/weights/namedWeights.ts
@@ -1,5 +1,5 @@
 /** Which weights operators named for each model, and since when older ones are replaced. */
-import type { NamedNews } from '../peers/peerMessage.js'
+import type { NamedWeightsUpdate } from '../peers/peerMessage.js'
 
 /**
  * Age of weights that were learned at a process's start, milliseconds: they may
@@ -47,13 +47,13 @@
   }
 
   /** What is known, guesses left out: they would make others believe them. */
-  ages (now: number): NamedNews[] {
+  ages (now: number): NamedWeightsUpdate[] {
     return [...this.named].flatMap(([model, versions]) =>
       versions.filter(({ isAssumed }) => !isAssumed).map(({ version, since }) => ({ model, version, ageMs: now - since })))
   }
 
   /** Another instance tells since when it has known a version; the earliest word counts. Returns whether the version is news. */
-  observe ({ model, version, ageMs }: NamedNews, now: number): boolean {
+  observe ({ model, version, ageMs }: NamedWeightsUpdate, now: number): boolean {
     const known = this.named.get(model) ?? []
     const isNews = version > (this.newest(model)?.version ?? -1)
     const same = known.find(named => named.version === version)
--- a/packages/foxtaillever-relay/src/weights/orderLease.ts
+++ b/packages/foxtaillever-relay/src/weights/orderLease.ts
@@ -11,7 +11,7 @@
  * says nothing of who held the lease last: everybody waits.
  */
 import type { Clock } from 'foxtaillever-core'
-import type { LeaseNews } from '../peers/peerMessage.js'
+import type { LeaseUpdate } from '../peers/peerMessage.js'
 import { eraOf } from '../knowledge/storePosition.js'
 import type { FenceLog } from './fenceLog.js'
 
@@ -38,7 +38,7 @@
   readonly incarnation: string
   /** Between the orders of two holders, milliseconds. */
   readonly pauseMs: number
-  readonly onChanged: (news: LeaseNews) => void
+  readonly onChanged: (news: LeaseUpdate) => void
   readonly onReleased: () => void
 }
 
@@ -106,12 +106,12 @@
     return this.isAsking && this.last?.holder === this.options.holder
   }
 
-  news (): LeaseNews | undefined {
+  news (): LeaseUpdate | undefined {
     return this.last && { offset: this.last.offset, holder: this.last.holder, ageMs: this.options.clock.now() - this.last.knownSince }
   }
 
   /** Takes what another instance knows. */
-  observe ({ offset, holder, ageMs }: LeaseNews): void {
+  observe ({ offset, holder, ageMs }: LeaseUpdate): void {
     const knownSince = this.options.clock.now() - ageMs
     if (offset > (this.last?.offset ?? -1)) {
       this.last = { offset, holder, knownSince }
--- a/packages/foxtaillever-relay/src/weights/orderOffice.ts
+++ b/packages/foxtaillever-relay/src/weights/orderOffice.ts
@@ -39,9 +39,9 @@
     orders: engineOrders,
     log,
     rank: () => isFit() ? orderRank(name, fitPeers(peers).map(peer => peer.name), lease.lastHolder) : LAST_RANK,
-    outstandingAt: ({ outstanding, hash }) => outstanding + peers.use.of(hash).outstanding,
-    waitMsAt: ({ unreadTokens, hash, listed }) => (unreadTokens + peers.use.of(hash).tokens) / directory.experience.prefillSpeedOf(listed.service).tokensPerMs,
-    tell: news => peers.tellWeights(news)
+    outstandingAt: ({ outstanding, hash }) => outstanding + peers.fleetLoad.of(hash).outstanding,
+    waitMsAt: ({ unreadTokens, hash, listed }) => (unreadTokens + peers.fleetLoad.of(hash).tokens) / directory.experience.prefillSpeedOf(listed.service).tokensPerMs,
+    tell: news => peers.announceWeights(news)
   })
   return { lease, desk }
 }
@@ -56,7 +56,7 @@
     random,
     own: fenceLog,
     lenders: () => fitPeers(peers).map(({ address }) => address),
-    through: address => peers.link.logThrough(address),
+    through: address => peers.link.proxiedLog(address),
     onFailed: onStoreFailed
   })
   return OrderLease.create({
@@ -70,11 +70,11 @@
     onChanged: ({ offset }) => {
       log.belief('Holds the lease on orders.', { fence: offset })
       // Whoever missed a renewal would ask too early, learn of it then, and wait anew.
-      peers.tellWeights([])
+      peers.announceWeights([])
     },
     onReleased: () => {
       log.belief('Gave up the lease on orders.', {})
-      peers.tellWeights([])
+      peers.announceWeights([])
     }
   })
 }
--- a/packages/foxtaillever-relay/src/weights/weightsDesk.ts
+++ b/packages/foxtaillever-relay/src/weights/weightsDesk.ts
@@ -8,7 +8,7 @@
 import { waitUntil } from 'foxtaillever-core'
 import { planRollout, RolloutPhase, type RolloutEngine } from 'foxtaillever-policy/relay/planRollout'
 import { ServerState } from '../model/listedServer.js'
-import type { CurrentEngines, NamedNews, WeightsNews } from '../peers/peerMessage.js'
+import type { CurrentEngines, NamedWeightsUpdate, WeightsUpdate } from '../peers/peerMessage.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import { canBeChanged, EngineChange } from './engineChange.js'
 import { NamedWeights } from './namedWeights.js'
@@ -34,7 +34,7 @@
   /** Changes that this instance carries out, by the engine's id. */
   private readonly changes = new Map<string, EngineChange>()
   /** Not told yet; the newest word about each engine counts. */
-  private readonly untold = new Map<string, WeightsNews>()
+  private readonly untold = new Map<string, WeightsUpdate>()
   /** When something last went forward, here or elsewhere, milliseconds of Unix time. */
   private progressAt = 0
   private isRunning = false
@@ -66,19 +66,19 @@
   }
 
   /** Since when which weights are known, to tell the others. */
-  ages (): NamedNews[] {
+  ages (): NamedWeightsUpdate[] {
     return this.named.ages(this.options.clock.now())
   }
 
   /** What another instance knows of named weights; it may have heard of them first. */
-  observeNamed (news: NamedNews): void {
+  observeNamed (news: NamedWeightsUpdate): void {
     if (this.named.observe(news, this.options.clock.now())) {
       this.run()
     }
   }
 
   /** What the one who gives orders tells. */
-  observe ({ server, model, version, changingMs }: WeightsNews): void {
+  observe ({ server, model, version, changingMs }: WeightsUpdate): void {
     const { clock, directory } = this.options
     const now = clock.now()
     this.progressAt = now
--- a/packages/foxtaillever-relay/src/weights/weightsDeskOptions.ts
+++ b/packages/foxtaillever-relay/src/weights/weightsDeskOptions.ts
@@ -1,6 +1,6 @@
 /** What the desk that orders new weights works with. */
 import type { Clock } from 'foxtaillever-core'
-import type { WeightsNews } from '../peers/peerMessage.js'
+import type { WeightsUpdate } from '../peers/peerMessage.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -21,5 +21,5 @@
   /** How long the prompts that wait at the server take to read, milliseconds. */
   readonly waitMsAt: (server: KnownServer) => number
   /** Told once after each look, for all engines of which there is news. */
-  readonly tell: (news: readonly WeightsNews[]) => void
+  readonly tell: (news: readonly WeightsUpdate[]) => void
 }
