--- a/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
+++ b/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
@@ -73,7 +73,7 @@
     directory: this.directory,
     limits: { observe: () => {} },
     onRestAsked: () => {},
-    log: { saysItLeaves: () => {}, asksForRest: () => {}, restUnreadable: () => {} }
+    log: { leavingStated: () => {}, backoffRequested: () => {}, backoffUnreadable: () => {} }
   })
 
   private readonly servers = Array.from({ length: SERVERS }, (_, index) => new TrueServer(`s${index}`))
--- a/packages/foxtaillever-relay/src/servers/serverStatements.ts
+++ b/packages/foxtaillever-relay/src/servers/serverStatements.ts
@@ -12,7 +12,7 @@
   readonly limits: Pick<ServerLimits, 'observe'>
   /** The others would be asked next. */
   readonly onRestAsked: (server: KnownServer) => void
-  readonly log: Pick<RelayLog, 'saysItLeaves' | 'asksForRest' | 'restUnreadable'>
+  readonly log: Pick<RelayLog, 'leavingStated' | 'backoffRequested' | 'backoffUnreadable'>
 }
 
 export class ServerStatements {
@@ -34,18 +34,18 @@
     }
     limits.observe(directory.get(id) ?? server, statement, sentAt)
     if (isLeaving) {
-      log.saysItLeaves(id, requestId, directory.observeLeaving(id, now))
+      log.leavingStated(id, requestId, directory.observeLeaving(id, now))
     }
     if (hasRun) {
       directory.newestStated(id)?.observeTaken(sentAt)
     }
     restMs
-      .ifLeft(text => log.restUnreadable(id, text))
+      .ifLeft(text => log.backoffUnreadable(id, text))
       .ifRight(ms => {
         if (ms > 0) {
           directory.newestStated(id)?.observeRest(now + ms, now)
           onRestAsked(server)
-          log.asksForRest(id, requestId, ms)
+          log.backoffRequested(id, requestId, ms)
         }
       })
   }
--- a/packages/foxtaillever-relay/src/telemetry/metricsServer.ts
+++ b/packages/foxtaillever-relay/src/telemetry/metricsServer.ts
@@ -1,4 +1,4 @@
-/** Answers operators: figures as text, and the state whole. */
+/** HTTP server for operators: metrics as text, and a dump of the state. */
 import { createServer, type Server } from 'node:http'
 import type { ListenAddress } from '../relayOptions.js'
 
@@ -26,7 +26,7 @@
     return new MetricsServer(source)
   }
 
-  /** Requests are served also without figures, so an address that is taken is only told. */
+  /** The relay works without metrics too, so an address in use is only reported. */
   listen ({ host, port }: ListenAddress, onFailed: (reason: string) => void): void {
     this.server.on('error', ({ message }) => onFailed(message))
     this.server.listen(port, host)
--- a/packages/foxtaillever-relay/src/telemetry/relayLog.ts
+++ b/packages/foxtaillever-relay/src/telemetry/relayLog.ts
@@ -1,6 +1,6 @@
 /**
- * The lines of the relay: one for each decision that touches a request or
- * changes what the process believes, and the figures that go with them.
+ * Log lines of the relay: one for each decision that affects a request or
+ * changes the state of the process, and the metrics that go with them.
  */
 import { Verdict, type Failure } from 'foxtaillever-core'
 import type { LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitBook'
@@ -21,29 +21,29 @@
   readonly outcome: string
   readonly verdict: Verdict
   readonly servers: readonly string[]
-  /** Of a streamed answer; see `StreamPace`. */
+  /** Timing of a streamed answer; see `StreamPace`. */
   readonly pace: { readonly firstMs: number, readonly pauseMs: number } | undefined
   readonly now: number
-  /** Why it failed, for one that did. */
+  /** Why the exchange failed, if it did. */
   readonly reason?: string
 }
 
-/** What the process believes of a service at the moment; no service for the process itself. */
-export type Beliefs = (service?: string) => Subject
+/** Summarizes the state of the process, and of a service if one is given. */
+export type DescribeState = (service?: string) => Subject
 
-/** A server's own word that it failed. */
+/** From this status on, the backend server itself reports a failure. */
 const SERVER_ERROR = 500
 
 export class RelayLog {
-  private constructor (private readonly logs: Logs, readonly metrics: Metrics, private readonly beliefs: Beliefs) {}
+  private constructor (private readonly logs: Logs, readonly metrics: Metrics, private readonly describeState: DescribeState) {}
 
-  static create (logs: Logs, beliefs: Beliefs = () => ({})): RelayLog {
-    return new RelayLog(logs, Metrics.create('foxtaillever_'), beliefs)
+  static create (logs: Logs, describeState: DescribeState = () => ({})): RelayLog {
+    return new RelayLog(logs, Metrics.create('foxtaillever_'), describeState)
   }
 
   refused (head: ExchangeHead, { code, verdict, message }: Failure): void {
     this.metrics.count('refusals_total', { code })
-    this.logs.writeFailure(Part.Callers, 'Refused a request.', { request: head.id, code, verdict, reason: message, host: head.host, path: head.path, ...this.beliefs() })
+    this.logs.writeFailure(Part.Callers, 'Refused a request.', { request: head.id, code, verdict, reason: message, host: head.host, path: head.path, ...this.describeState() })
   }
 
   malformed (reason: string): void {
@@ -61,27 +61,27 @@
     this.logs.writeFailure(Part.Requests, 'A try failed.', { request: exchange.id, server, kind, detail, verdict, connection: isOnKeptConnection === true ? 'kept' : undefined })
   }
 
-  /** The queue at its server would make it late; it goes behind those that can be in time. */
+  /** The queue at its server would make the request late; it goes behind requests that can be in time. */
   yields (exchange: Exchange, server: string, { waitMs, readMs, objectiveMs }: ExpectedStart): void {
     this.metrics.count('requests_yielding_total', { route: exchange.route.name })
     this.logs.write('info', Part.Requests, 'Yields to requests that can be in time.', { request: exchange.id, server, waitMs: Math.round(waitMs), readMs: Math.round(readMs), objectiveMs })
   }
 
-  /** @param askedAt when the decision was asked for, milliseconds of Unix time. */
-  quotaRefused ({ id, account }: Exchange, { outcome, role, decidedBy, retryAt }: LimitResult, cost: number, askedAt: number, now: number): void {
+  /** @param requestedAt when the decision was requested, milliseconds of Unix time. */
+  quotaRefused ({ id, account }: Exchange, { outcome, role, decidedBy, retryAt }: LimitResult, cost: number, requestedAt: number, now: number): void {
     const { quota, name } = account ?? {}
     this.metrics.count('quota_refusals_total', { outcome, role })
     this.logs.writeFailure(Part.Requests, 'Refused by the quota of its client account.', {
-      request: id, account: name, outcome, role, decidedBy, cost, perSecond: quota?.perSecond, burst: quota?.burst, waitedMs: Math.round(now - askedAt), retryMs: Math.round(retryAt - now)
+      request: id, account: name, outcome, role, decidedBy, cost, perSecond: quota?.perSecond, burst: quota?.burst, waitedMs: Math.round(now - requestedAt), retryMs: Math.round(retryAt - now)
     })
   }
 
-  /** This instance decided for itself or another. */
+  /** This instance made a limit decision, for itself or for another instance. */
   limitDecided (scope: LimitScope, role: LimitRole, outcome: LimitOutcome): void {
     this.metrics.count('limit_decisions_total', { scope: LimitScope[scope], role, outcome })
   }
 
-  /** A server stated a limit that is no rate; the one before it stays in force. */
+  /** A server stated a limit that is not a valid rate; the previous limit stays in force. */
   limitUnreadable (server: string, text: string): void {
     this.metrics.count('server_limits_unreadable_total')
     this.logs.writeFailure(Part.Requests, 'A backend server stated a limit that cannot be read.', { server, text })
@@ -92,7 +92,7 @@
     this.logs.write('info', Part.Requests, 'Sends to a backend server that stated a limit.', { request, server, perSecond, statedMsAgo: Math.round(now - at) })
   }
 
-  /** A request goes elsewhere, or back to its caller. */
+  /** The server's limit leaves no room for a request, which goes to another server or is refused. */
   serverLimitRefused ({ id: request }: Exchange, server: string, { perSecond, at }: StatedLimit, { outcome, role, decidedBy, retryAt }: LimitResult, now: number): void {
     this.metrics.count('server_limit_refusals_total', { outcome, role })
     this.logs.writeFailure(Part.Requests, 'A backend server has no room under the limit that it stated.', {
@@ -100,19 +100,19 @@
     })
   }
 
-  saysItLeaves (server: string, request: string | undefined, isNews: boolean): void {
+  leavingStated (server: string, request: string | undefined, isNew: boolean): void {
     this.metrics.count('server_statements_total', { kind: 'leaving' })
-    if (isNews) {
+    if (isNew) {
       this.logs.write('info', Part.Requests, 'A backend server says in an answer that it leaves.', { request, server })
     }
   }
 
-  asksForRest (server: string, request: string | undefined, restMs: number): void {
+  backoffRequested (server: string, request: string | undefined, restMs: number): void {
     this.metrics.count('server_statements_total', { kind: 'rest' })
     this.logs.writeFailure(Part.Requests, 'A backend server asks for rest.', { request, server, restMs: Math.round(restMs) })
   }
 
-  restUnreadable (server: string, text: string): void {
+  backoffUnreadable (server: string, text: string): void {
     this.metrics.count('server_statements_total', { kind: 'unreadable-rest' })
     this.logs.writeFailure(Part.Requests, 'A backend server asks for rest, and the time cannot be read.', { server, text })
   }
@@ -131,7 +131,7 @@
     const subject = { request, account: account?.name, route: route.name, end, outcome, verdict, servers: servers.join(' '), ms, ...pace, promptTokens: exchange.prompt?.promptTokens }
     const isFailure = end === ExchangeEnd.Failed || Number(outcome) >= SERVER_ERROR
     if (isFailure) {
-      this.logs.writeFailure(Part.Requests, `Ended: ${end}.`, { ...subject, reason, ...this.beliefs(exchange.service) })
+      this.logs.writeFailure(Part.Requests, `Ended: ${end}.`, { ...subject, reason, ...this.describeState(exchange.service) })
     } else {
       this.logs.write('info', Part.Requests, `Ended: ${end}.`, subject)
     }
