--- a/packages/foxtaillever-relay/src/peers/fleetLoad.ts
+++ b/packages/foxtaillever-relay/src/peers/fleetLoad.ts
@@ -46,7 +46,7 @@
   }
 
   setPeerLoad (peer: string, uses: readonly ServerUse[]): void {
-    this.forget(peer)
+    this.remove(peer)
     this.byPeer.set(peer, { uses, at: this.clock.now() })
     this.addAll(uses, 1)
   }
@@ -60,7 +60,7 @@
   retain (isAlive: (peer: string) => boolean): void {
     for (const peer of [...this.byPeer.keys()]) {
       if (!isAlive(peer)) {
-        this.forget(peer)
+        this.remove(peer)
       }
     }
     const now = this.clock.now()
@@ -71,7 +71,7 @@
     }
   }
 
-  private forget (peer: string): void {
+  private remove (peer: string): void {
     this.addAll(this.byPeer.get(peer)?.uses ?? [], -1)
     this.byPeer.delete(peer)
   }
--- a/packages/foxtaillever-relay/src/peers/loadQueryClient.ts
+++ b/packages/foxtaillever-relay/src/peers/loadQueryClient.ts
@@ -35,7 +35,7 @@
 /** What a watcher knows about servers and levels. */
 export type WatcherReport = Pick<LoadAnswer, 'loads' | 'unreachable' | 'saved' | 'backingOff'>
 
-interface Pending {
+interface PendingQuery {
   readonly waiting: Set<string>
   readonly resolve: () => void
 }
@@ -57,7 +57,7 @@
 
 export class LoadQueryClient {
   private readonly unresponsive: UnresponsivePeers
-  private readonly pending = new Map<number, Pending>()
+  private readonly pending = new Map<number, PendingQuery>()
   private number = 0
 
   private constructor (private readonly options: LoadQueryClientOptions) {
@@ -75,11 +75,11 @@
   async query ({ servers, level }: LoadQuery): Promise<ReadonlySet<number>> {
     const queried = new Set(level === undefined ? servers : [...servers, level.home])
     const questions = this.plan(queried, level)
-    const { address, answerLocally: answerOwn, onReport: onLearned } = this.options
+    const { address, answerLocally, onReport } = this.options
     const own = questions.get(address)
     if (own) {
       questions.delete(address)
-      onLearned(answerOwn(own))
+      onReport(answerLocally(own))
     }
     if (questions.size > 0) {
       await this.send(questions)
--- a/packages/foxtaillever-relay/src/peers/peers.ts
+++ b/packages/foxtaillever-relay/src/peers/peers.ts
@@ -43,7 +43,7 @@
 /** A fleet with more other instances than this is large: a heartbeat goes to some of them only. */
 const MAX_RECEIVERS = 24
 
-/** Receivers of one heartbeat of a large fleet, one a second: 230 bytes each, sent and received, are 7.4 KB/s; load reports take another 6 on most days. */
+/** Receivers of each heartbeat of a large fleet. One heartbeat a second of 230 bytes, sent and received, is 7.4 KB/s; load reports take another 6 on most days. */
 const LARGE_FLEET_RECEIVERS = 16
 
 /**
@@ -233,8 +233,8 @@
   }
 
   /**
-   * Recomputes what depends on the set of instances. It is used with every request
-   * and every datagram, and changes only when an instance joins, leaves or falls silent.
+   * Recomputes what depends on the set of instances. The results are used with every
+   * request and every datagram, but change only when an instance joins, leaves or falls silent.
    */
   private refresh (): void {
     const now = this.options.clock.now()
