--- a/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
@@ -13,7 +13,7 @@
 import type { Routing } from '../model/routing.js'
 import { ServerLimits, type ServerLimitsOptions } from '../limits/serverLimits.js'
 import type { ServerWire } from '../model/wire.js'
-import type { LevelAtHome, LoadWish } from '../peers/loadQuestions.js'
+import type { LevelAtHome, LoadQuery } from '../peers/loadQueryClient.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import { ServerSelector, type QueriedServers, type ServerSelectorOptions } from '../servers/serverSelector.js'
 import { ServerDirectory } from '../servers/serverDirectory.js'
@@ -33,7 +33,7 @@
   readonly log: RelayLog
   readonly retryAllowance: RetryAllowance
   /** Queries other instances for the load of the candidate servers of a prompt, and resolves to the servers it queried; undefined where the load is known. Never rejects. */
-  readonly queryLoad: (query: () => LoadWish) => Promise<QueriedServers> | undefined
+  readonly queryLoad: (query: () => LoadQuery) => Promise<QueriedServers> | undefined
   /** The configuration in force; undefined until one is known. */
   readonly routing: () => Routing | undefined
   /** A server asked this instance to back off, with Retry-After. */
--- a/packages/foxtaillever-relay/src/knowledge/createStoreReplica.ts
+++ b/packages/foxtaillever-relay/src/knowledge/createStoreReplica.ts
@@ -1,7 +1,7 @@
 /** Connects the replica of the platform's store to the server directory, the routing and the weights of an instance. */
 import type { Routing } from '../model/routing.js'
 import type { Peers } from '../peers/peers.js'
-import { ToldTopic } from '../peers/toldTopic.js'
+import { AnnouncedTopic } from '../peers/announcedTopic.js'
 import type { RelayOptions } from '../relayOptions.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -43,15 +43,15 @@
     wallSeconds: readWallClockSeconds,
     self: { name, failureDomain },
     readers: () => peers.likely().filter(({ hasStore }) => hasStore),
-    notify: notice => peers.notify(notice),
+    notify: notice => peers.announceReading(notice),
     log,
-    topics: { [ToldTopic.Operators]: topics.operators, [ToldTopic.Servers]: topics.servers },
+    topics: { [AnnouncedTopic.Operators]: topics.operators, [AnnouncedTopic.Servers]: topics.servers },
     relayLog,
     link: () => peers.link,
-    peers: () => peers.table.all().map(({ address, last }) => ({ address, positions: last?.positions, revision: last?.revision ?? -1 })),
+    peers: () => peers.table.all().map(({ address, lastMessage }) => ({ address, positions: lastMessage?.positions, revision: lastMessage?.revision ?? -1 })),
     revision,
     onRestored,
-    onRecord: { [ToldTopic.Operators]: record => recordHandler.applyOperatorRecord(record), [ToldTopic.Servers]: record => recordHandler.applyServerRecord(record) }
+    onRecord: { [AnnouncedTopic.Operators]: record => recordHandler.applyOperatorRecord(record), [AnnouncedTopic.Servers]: record => recordHandler.applyServerRecord(record) }
   })
   return replica
 }
--- a/packages/foxtaillever-relay/src/knowledge/peerRecordFetcher.ts
+++ b/packages/foxtaillever-relay/src/knowledge/peerRecordFetcher.ts
@@ -2,7 +2,7 @@
 import type { Random } from 'foxtaillever-core'
 import type { PeerLink } from '../peers/peerLink.js'
 import type { Positions } from '../peers/peerMessage.js'
-import { ToldTopic } from '../peers/toldTopic.js'
+import { AnnouncedTopic } from '../peers/announcedTopic.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import type { RecordTable, RecordUpdate } from './recordTable.js'
 import { formatPosition } from './storePosition.js'
@@ -24,12 +24,12 @@
 export interface PeerRecordFetcherOptions {
   readonly random: Random
   readonly relayLog: RelayLog
-  readonly link: () => Pick<PeerLink, 'ask'>
-  readonly onAnswer: (topic: ToldTopic, answer: PeerAnswer) => void
+  readonly link: () => Pick<PeerLink, 'fetchRecords'>
+  readonly onAnswer: (topic: AnnouncedTopic, answer: PeerAnswer) => void
 }
 
 export class PeerRecordFetcher {
-  private readonly pendingTopics = new Set<ToldTopic>()
+  private readonly pendingTopics = new Set<AnnouncedTopic>()
 
   private constructor (private readonly options: PeerRecordFetcherOptions) {}
 
@@ -38,7 +38,7 @@
   }
 
   /** Queries a random instance that is ahead; before the first complete read, also instances whose positions are unknown. */
-  fetchFromPeerAhead (topic: ToldTopic, { isComplete, position }: RecordTable, peers: readonly PeerProgress[]): void {
+  fetchFromPeerAhead (topic: AnnouncedTopic, { isComplete, position }: RecordTable, peers: readonly PeerProgress[]): void {
     const ahead = peers.filter(({ positions }) => positions === undefined ? !isComplete : positions[topic] > position)
     this.fetchFromRandomPeer(ahead, topic, position)
   }
@@ -49,23 +49,23 @@
    */
   fetchNewerRouting (position: number, revision: number, peers: readonly PeerProgress[]): void {
     const newer = peers.filter(peer => peer.revision > revision && peer.positions !== undefined && peer.positions.operators <= position)
-    this.fetchFromRandomPeer(newer, ToldTopic.Operators, 0)
+    this.fetchFromRandomPeer(newer, AnnouncedTopic.Operators, 0)
   }
 
-  private fetchFromRandomPeer (peers: readonly PeerProgress[], topic: ToldTopic, from: number): void {
+  private fetchFromRandomPeer (peers: readonly PeerProgress[], topic: AnnouncedTopic, from: number): void {
     const chosen = peers[this.options.random.below(peers.length)]
     if (chosen) {
       this.fetchRecords(chosen.address, topic, from, -Infinity)
     }
   }
 
-  async fetchRecords (address: string, topic: ToldTopic, from: number, freshAt: number): Promise<void> {
+  async fetchRecords (address: string, topic: AnnouncedTopic, from: number, freshAt: number): Promise<void> {
     const { link, relayLog, onAnswer } = this.options
     if (this.pendingTopics.has(topic)) {
       return
     }
     this.pendingTopics.add(topic)
-    const answer = await link().ask(address, topic, from)
+    const answer = await link().fetchRecords(address, topic, from)
     this.pendingTopics.delete(topic)
     answer.caseOf({
       Left: ({ message }) => relayLog.trouble('Another instance does not tell its records.', { peer: address, topic, reason: message }),
--- a/packages/foxtaillever-relay/src/knowledge/readingLog.ts
+++ b/packages/foxtaillever-relay/src/knowledge/readingLog.ts
@@ -1,11 +1,11 @@
 /** Logs the results of reads of the platform's store, so that skipped records can be found afterwards. */
-import type { ToldTopic } from '../peers/toldTopic.js'
+import type { AnnouncedTopic } from '../peers/announcedTopic.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import { formatPosition } from './storePosition.js'
 
 /** A read that has ended. */
 export interface EndedReading {
-  readonly topic: ToldTopic
+  readonly topic: AnnouncedTopic
   /** Everything before this position has been read. */
   readonly end: number
   /** Everything before this position was known before the read. */
@@ -14,7 +14,7 @@
 
 export class ReadingLog {
   /** Counts of records of the current read that are older than the known ones, by topic. */
-  private readonly older = new Map<ToldTopic, number>()
+  private readonly older = new Map<AnnouncedTopic, number>()
 
   private constructor (private readonly log: RelayLog) {}
 
@@ -23,7 +23,7 @@
   }
 
   /** @param isCurrent whether the record is not older than the known one of its key. */
-  noteRecord (topic: ToldTopic, isCurrent: boolean): void {
+  noteRecord (topic: AnnouncedTopic, isCurrent: boolean): void {
     if (!isCurrent) {
       this.older.set(topic, (this.older.get(topic) ?? 0) + 1)
     }
@@ -42,7 +42,7 @@
     }
   }
 
-  private takeOlderCount (topic: ToldTopic): number {
+  private takeOlderCount (topic: AnnouncedTopic): number {
     const older = this.older.get(topic) ?? 0
     this.older.delete(topic)
     return older
--- a/packages/foxtaillever-relay/src/knowledge/storeReplica.ts
+++ b/packages/foxtaillever-relay/src/knowledge/storeReplica.ts
@@ -4,10 +4,10 @@
  * others. An instance that receives no notices reads the store itself, and queries
  * another instance while the store does not answer it.
  */
-import type { ToldRecords } from '../peers/peerLink.js'
+import type { AnnouncedRecords } from '../peers/peerLink.js'
 import type { Positions } from '../peers/peerMessage.js'
-import { limitNews, type ReadNotice, type ReadPosition } from '../peers/readNotice.js'
-import { ToldTopic } from '../peers/toldTopic.js'
+import { limitNewRecords, type ReadNotice, type ReadPosition } from '../peers/readNotice.js'
+import { AnnouncedTopic } from '../peers/announcedTopic.js'
 import { FreshnessTracker } from './freshnessTracker.js'
 import type { StoreReplicaOptions } from './storeReplicaOptions.js'
 import { PeerRecordFetcher, type PeerProgress, type PeerAnswer } from './peerRecordFetcher.js'
@@ -27,11 +27,11 @@
 /** In this time a live server writes its entry several times, and the entry of a server that has left is removed again, milliseconds. */
 const RESURRECTED_KEYS_MS = 5000
 
-const topics = Object.values(ToldTopic)
+const topics = Object.values(AnnouncedTopic)
 
-const rankings: Readonly<Record<ToldTopic, RecordRanking>> = {
-  [ToldTopic.Operators]: RecordRanking.ByContents,
-  [ToldTopic.Servers]: RecordRanking.ByOffset
+const rankings: Readonly<Record<AnnouncedTopic, RecordRanking>> = {
+  [AnnouncedTopic.Operators]: RecordRanking.ByContents,
+  [AnnouncedTopic.Servers]: RecordRanking.ByOffset
 }
 
 interface FollowedTopic {
@@ -46,7 +46,7 @@
   private readonly plans: ReadPlans
   private readonly readingLog: ReadingLog
   private readonly suspensionDetector: SuspensionDetector
-  private readonly followed: Readonly<Record<ToldTopic, FollowedTopic>>
+  private readonly followed: Readonly<Record<AnnouncedTopic, FollowedTopic>>
   private readonly peerFetcher: PeerRecordFetcher
   private cancelCheck = (): void => {}
   /** Until this time this instance reads the store itself for heartbeats of resurrected keys, milliseconds of Unix time. */
@@ -60,8 +60,8 @@
     this.suspensionDetector = SuspensionDetector.create(options.clock, options.wallSeconds)
     this.peerFetcher = PeerRecordFetcher.create({ ...options, onAnswer: (topic, answer) => this.handlePeerAnswer(topic, answer) })
     this.followed = {
-      [ToldTopic.Operators]: this.createFollowedTopic(ToldTopic.Operators),
-      [ToldTopic.Servers]: this.createFollowedTopic(ToldTopic.Servers)
+      [AnnouncedTopic.Operators]: this.createFollowedTopic(AnnouncedTopic.Operators),
+      [AnnouncedTopic.Servers]: this.createFollowedTopic(AnnouncedTopic.Servers)
     }
   }
 
@@ -110,12 +110,12 @@
   }
 
   /** Update of a topic for an instance that knows everything before an offset. */
-  updateSince (topic: ToldTopic, from: number): ToldRecords {
+  updateSince (topic: AnnouncedTopic, from: number): AnnouncedRecords {
     return this.followed[topic].table.createUpdateSince(from)
   }
 
   /** Handles the notice of another instance that has read the store. */
-  handleNotice ({ address, isFresh, isWatching, positions, news }: ReadNotice): void {
+  handleNotice ({ address, isFresh, isWatching, positions, newRecords: news }: ReadNotice): void {
     const now = this.options.clock.now()
     this.freshness.recordWatch(address, isWatching, now)
     if (isFresh) {
@@ -131,10 +131,10 @@
   }
 
   private get servers (): FollowedTopic {
-    return this.followed[ToldTopic.Servers]
+    return this.followed[AnnouncedTopic.Servers]
   }
 
-  private createFollowedTopic (topic: ToldTopic): FollowedTopic {
+  private createFollowedTopic (topic: AnnouncedTopic): FollowedTopic {
     const { clock, random, log, topics: names, relayLog, onRecord } = this.options
     const table = RecordTable.create(onRecord[topic], rankings[topic])
     const follower = TopicFollower.create({
@@ -169,12 +169,12 @@
   }
 
   /** Called before records of a later era are applied: entries that they lack may be written again. */
-  private recordEra (topic: ToldTopic, position: number): void {
+  private recordEra (topic: AnnouncedTopic, position: number): void {
     const { table } = this.followed[topic]
     const era = eraOf(position)
     if (!table.isComplete) {
       this.era = Math.max(this.era, era)
-    } else if (topic === ToldTopic.Servers && era > eraOf(table.position)) {
+    } else if (topic === AnnouncedTopic.Servers && era > eraOf(table.position)) {
       this.freshness.recordRestore(this.options.clock.now())
     }
   }
@@ -190,34 +190,34 @@
   }
 
   /** Records a successful read up to an offset and notifies the other instances. */
-  private handleReading (topic: ToldTopic, offset: number, advance: () => void): void {
+  private handleReading (topic: AnnouncedTopic, offset: number, advance: () => void): void {
     const { table, follower } = this.followed[topic]
     const wasComplete = table.isComplete
     const from = this.followed[topic].announcedEnd
     advance()
     this.followed[topic].announcedEnd = table.changed
-    const update = wasComplete && table.changed > from && table.knowsRemovalsSince(from) ? limitNews({ topic, from, records: table.recordsSince(from) }) : undefined
-    if (topic === ToldTopic.Servers) {
+    const update = wasComplete && table.changed > from && table.knowsRemovalsSince(from) ? limitNewRecords({ topic, from, records: table.recordsSince(from) }) : undefined
+    if (topic === AnnouncedTopic.Servers) {
       this.freshness.markFresh(follower.lastCallAt)
     }
-    if (topic === ToldTopic.Servers || table.changed > from) {
+    if (topic === AnnouncedTopic.Servers || table.changed > from) {
       this.notifyPeers(update)
     }
   }
 
-  private notifyPeers (news: ReadNotice['news']): void {
+  private notifyPeers (news: ReadNotice['newRecords']): void {
     const { clock, notify } = this.options
     const { operators, servers } = this.followed
     notify({
       isFresh: !servers.follower.isFailing && this.freshness.freshAt + FRESH_TOLERANCE_MS > clock.now(),
       isWatching: this.hasStore && operators.follower.isAnswered && this.plans.isWatching,
-      positions: { [ToldTopic.Operators]: positionOf(operators), [ToldTopic.Servers]: positionOf(servers) },
-      news
+      positions: { [AnnouncedTopic.Operators]: positionOf(operators), [AnnouncedTopic.Servers]: positionOf(servers) },
+      newRecords: news
     })
   }
 
   /** Applies an update of another instance. */
-  private applyUpdate (topic: ToldTopic, update: RecordUpdate): void {
+  private applyUpdate (topic: AnnouncedTopic, update: RecordUpdate): void {
     const followed = this.followed[topic]
     const { table, follower } = followed
     this.recordEra(topic, update.position)
@@ -228,7 +228,7 @@
   }
 
   /** Compares the position of another instance with this one's and fetches what is missing. */
-  private handlePeerPosition (topic: ToldTopic, { position, changed }: ReadPosition, address: string, freshAt: number): void {
+  private handlePeerPosition (topic: AnnouncedTopic, { position, changed }: ReadPosition, address: string, freshAt: number): void {
     const { table, follower } = this.followed[topic]
     if (!table.isComplete) {
       return
@@ -239,13 +239,13 @@
     }
     if (table.position >= changed) {
       this.applyUpdate(topic, { from: table.position, records: [], position, keys: undefined })
-      if (topic === ToldTopic.Servers) {
+      if (topic === AnnouncedTopic.Servers) {
         this.freshness.markFresh(freshAt)
       }
       return
     }
     const isLaterEra = eraOf(position) > eraOf(table.position)
-    if (follower.isFailing || this.servers.follower.isFailing || (topic === ToldTopic.Servers && !isLaterEra)) {
+    if (follower.isFailing || this.servers.follower.isFailing || (topic === AnnouncedTopic.Servers && !isLaterEra)) {
       this.peerFetcher.fetchRecords(address, topic, table.position, freshAt)
     } else if (!follower.isReading) {
       // The store's connection is faster than an instance's, and a configuration may be large.
@@ -257,19 +257,19 @@
    * Queries a peer that is ahead. The servers' topic grows with every heartbeat, so a
    * small lag there is normal while the store is being read.
    */
-  private fetchMissingRecords (topic: ToldTopic, peers: readonly PeerProgress[]): void {
+  private fetchMissingRecords (topic: AnnouncedTopic, peers: readonly PeerProgress[]): void {
     const { table, follower } = this.followed[topic]
     const isStale = follower.isFailing && !this.plans.isFresh
-    if (!table.isComplete || topic === ToldTopic.Operators || isStale) {
+    if (!table.isComplete || topic === AnnouncedTopic.Operators || isStale) {
       this.peerFetcher.fetchFromPeerAhead(topic, table, peers)
     }
   }
 
-  private handlePeerAnswer (topic: ToldTopic, answer: PeerAnswer): void {
+  private handlePeerAnswer (topic: AnnouncedTopic, answer: PeerAnswer): void {
     this.applyUpdate(topic, answer)
     const { freshAt } = answer
     const { table, follower } = this.followed[topic]
-    if (topic === ToldTopic.Servers && table.isComplete) {
+    if (topic === AnnouncedTopic.Servers && table.isComplete) {
       this.freshness.markFresh(freshAt)
       follower.reschedule()
     }
@@ -288,7 +288,7 @@
     // Without recent notices of other instances, a failing store is called sooner.
     topics.map(topic => this.followed[topic].follower).filter(({ isFailing }) => isFailing).forEach(follower => follower.reschedule())
     topics.forEach(topic => this.fetchMissingRecords(topic, peers))
-    this.peerFetcher.fetchNewerRouting(this.followed[ToldTopic.Operators].table.position, this.options.revision(), peers)
+    this.peerFetcher.fetchNewerRouting(this.followed[AnnouncedTopic.Operators].table.position, this.options.revision(), peers)
     this.cancelCheck = clock.at(clock.now() + CHECK_INTERVAL_MS, () => this.check())
   }
 }
--- a/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
+++ b/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
@@ -92,7 +92,7 @@
       send: (to, message) => this.send(node, to, message),
       onInstanceSeen: peer => { node.knownAddresses.add(peer); this.updateMembers(node) },
       onDecided: () => {},
-      onPassedOver: () => {}
+      onUnresponsive: () => {}
     })
     if (!earlier) {
       this.nodes.push(node)
--- a/packages/foxtaillever-relay/src/limits/__tests__/limitProtocol.test.ts
+++ b/packages/foxtaillever-relay/src/limits/__tests__/limitProtocol.test.ts
@@ -163,7 +163,7 @@
   it('an instance that knows no instance that decides sends no messages', async t => {
     const clock = VirtualClock.create()
     const recipients: string[] = []
-    const protocol = LimitProtocol.create({ ...quotaKind, clock, address: 'a:1', ranking: () => [], stableSince: () => 0, instanceCount: () => 1, send: to => { recipients.push(to) }, onInstanceSeen: () => {}, onDecided: () => {}, onPassedOver: () => {} })
+    const protocol = LimitProtocol.create({ ...quotaKind, clock, address: 'a:1', ranking: () => [], stableSince: () => 0, instanceCount: () => 1, send: to => { recipients.push(to) }, onInstanceSeen: () => {}, onDecided: () => {}, onUnresponsive: () => {} })
     const outcomes: LimitOutcome[] = []
     protocol.claim({ key: ACCOUNT, limit: small, cost: 1 }, ({ outcome }) => { outcomes.push(outcome) })
     protocol.refund(ACCOUNT, 1)
--- a/packages/foxtaillever-relay/src/limits/limitProtocol.ts
+++ b/packages/foxtaillever-relay/src/limits/limitProtocol.ts
@@ -10,7 +10,7 @@
 import { RecentMap } from 'foxtaillever-policy/collections/recentMap'
 import { SharedLimitBook, LimitOutcome, LimitRole, RENEWAL_MS, type LimitClaim, type LimitTolerance, type ReturnOrder } from 'foxtaillever-policy/limits/sharedLimitBook'
 import { DatagramKind } from '../peers/datagram.js'
-import { PassedOver, type PassedOverOptions } from '../peers/passedOver.js'
+import { UnresponsivePeers, type UnresponsivePeersOptions } from '../peers/unresponsivePeers.js'
 import { LimitScope, type LimitMessage, type LimitRequest, type LimitResponse } from './limitMessage.js'
 
 /** Wait for a response, milliseconds: a datagram travels two at most, a busy event loop delays it by tens. */
@@ -56,7 +56,7 @@
   readonly maxWaitMs: number
 }
 
-export interface LimitProtocolOptions extends LimitKind, PassedOverOptions {
+export interface LimitProtocolOptions extends LimitKind, UnresponsivePeersOptions {
   readonly clock: Clock
   readonly address: string
   /** Addresses of the instances that may decide on a key, the owner first. */
@@ -99,7 +99,7 @@
 
 export class LimitProtocol {
   private readonly ledger: SharedLimitBook
-  private readonly skippedPeers: PassedOver
+  private readonly skippedPeers: UnresponsivePeers
   private readonly pending = new Map<number, PendingClaim>()
   private readonly allowances = RecentMap.create<Allowance>(MAX_ALLOWANCES)
   /** Keys with a scheduled renewal of the standby's promise. */
@@ -108,7 +108,7 @@
 
   private constructor (private readonly options: LimitProtocolOptions) {
     this.ledger = SharedLimitBook.create(options.tolerance, options.retryOrder)
-    this.skippedPeers = PassedOver.create(options)
+    this.skippedPeers = UnresponsivePeers.create(options)
   }
 
   static create (options: LimitProtocolOptions): LimitProtocol {
@@ -213,14 +213,14 @@
 
   private handleTimeout (number: number, pending: PendingClaim, queried: string | undefined): void {
     if (queried !== undefined && pending.unanswered.has(queried)) {
-      this.skippedPeers.miss(queried)
+      this.skippedPeers.recordTimeout(queried)
     }
     this.requestNext(number, pending)
   }
 
   private receiveResponse ({ address, number, key, outcome, role, retryMs, free, owner }: LimitResponse): void {
     const now = this.options.clock.now()
-    this.skippedPeers.hear(address)
+    this.skippedPeers.recordAnswer(address)
     this.allowances.set(key, { tokens: free, expiresAt: now + ALLOWANCE_TTL_MS })
     const pending = this.pending.get(number)
     if (pending?.unanswered.delete(address) !== true) {
--- /dev/null
+++ b/packages/foxtaillever-relay/src/peers/heartbeatContents.ts
@@ -0,0 +1,60 @@
+/** Builds what an instance reports about itself in its heartbeats, and applies the heartbeats of other instances. */
+import type { Clock } from 'foxtaillever-core'
+import type { CrashSuspects } from '../exchange/crashSuspects.js'
+import type { ExchangeDispatcher } from '../exchange/exchangeDispatcher.js'
+import type { StoreReplica } from '../knowledge/storeReplica.js'
+import type { OrderCoordinator } from '../weights/orderCoordinator.js'
+import type { PeerMessage } from './peerMessage.js'
+import type { OwnReport, Peers } from './peers.js'
+import type { WeightsNotice } from './weightsNotice.js'
+
+/** Components of an instance that heartbeats read and update. */
+export interface HeartbeatParts {
+  readonly clock: Clock
+  readonly exchanges: ExchangeDispatcher
+  readonly suspects: CrashSuspects
+  readonly peers: Peers
+  readonly knowledge: StoreReplica
+  readonly orders: OrderCoordinator
+  readonly isLeaving: boolean
+  /** Revision of the configuration in force; -1 before the first. */
+  readonly revision: number
+}
+
+export function createOwnReport ({ clock, exchanges, suspects, peers, knowledge, orders, isLeaving, revision }: HeartbeatParts): OwnReport {
+  const { directory, caches, limits } = exchanges
+  return {
+    isLeaving,
+    hasStore: knowledge.hasStore,
+    positions: knowledge.positions,
+    revision,
+    lease: orders.lease.snapshot(),
+    uses: caches.fetchLoads(),
+    sums: peers.loadProtocol.sums(directory.all().map(({ hash }) => hash)),
+    suspects: suspects.factsToAnnounce(clock.now()),
+    ...caches.createReport(),
+    named: orders.rollout.versionAges(),
+    current: orders.rollout.currentEngines(),
+    speeds: directory.speedsToAnnounce(),
+    limits: limits.updates()
+  }
+}
+
+export function applyPeerMessage (parts: HeartbeatParts, { address, lease, suspects, named, current, speeds, limits, ...caches }: PeerMessage): void {
+  const { clock, exchanges, peers, orders } = parts
+  exchanges.setInstanceCount(peers.count())
+  exchanges.limits.applyUpdates(limits)
+  parts.suspects.receiveFacts(suspects, clock.now())
+  exchanges.caches.applyReport(address, caches)
+  applyWeightsNotice(orders, { updates: [], lease })
+  speeds.forEach(({ service, ...speed }) => exchanges.directory.observations.prefillSpeedOf(service).hear(speed))
+  named.forEach(update => orders.rollout.applyVersion(update))
+  current.forEach(update => orders.rollout.applyCurrentEngines(update))
+}
+
+export function applyWeightsNotice ({ lease: own, rollout: desk }: OrderCoordinator, { updates, lease }: WeightsNotice): void {
+  if (lease) {
+    own.applySnapshot(lease)
+  }
+  updates.forEach(update => desk.applyUpdate(update))
+}
--- a/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
+++ b/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
@@ -73,7 +73,7 @@
     directory: this.directory,
     limits: { applyStatement: () => {} },
     onBackoffRequested: () => {},
-    log: { saysItLeaves: () => {}, asksForRest: () => {}, restUnreadable: () => {} }
+    log: { leavingStated: () => {}, backoffRequested: () => {}, backoffUnreadable: () => {} }
   })
 
   private readonly servers = Array.from({ length: SERVERS }, (_, index) => new SimulatedServer(`s${index}`))
--- a/packages/foxtaillever-relay/src/servers/serverDirectory.ts
+++ b/packages/foxtaillever-relay/src/servers/serverDirectory.ts
@@ -15,7 +15,7 @@
 import { StatedState } from 'foxtaillever-policy/relay/statedState'
 import { saysSame, ServerState, type ListedServer } from '../model/listedServer.js'
 import type { Routing } from '../model/routing.js'
-import type { SpeedNews } from '../peers/peerMessage.js'
+import type { SpeedUpdate } from '../peers/peerMessage.js'
 import { createKnownServer, type KnownServer } from './knownServer.js'
 import { ServerConnections } from './serverConnections.js'
 import { ServerObservations } from './serverObservations.js'
@@ -257,7 +257,7 @@
   }
 
   /** Prompt speeds for which this instance has enough samples to announce them. */
-  speedsToAnnounce (): SpeedNews[] {
+  speedsToAnnounce (): SpeedUpdate[] {
     return [...this.observations.prefillSpeeds].flatMap(([service, { tokensPerMs, samples }]) =>
       samples >= SETTLED_SAMPLES && this.hasService(service) ? [{ service, tokensPerMs, samples }] : [])
   }
--- a/packages/foxtaillever-relay/src/servers/serverSelector.ts
+++ b/packages/foxtaillever-relay/src/servers/serverSelector.ts
@@ -6,7 +6,7 @@
 import type { Exchange } from '../model/exchange.js'
 import type { CacheStore } from '../model/routing.js'
 import type { LevelFetchEstimate } from '../cache/estimateLevelFetch.js'
-import type { FleetUse } from '../peers/fleetUse.js'
+import type { FleetLoad } from '../peers/fleetLoad.js'
 import type { WeightsRollout } from '../weights/weightsRollout.js'
 import type { KnownServer } from './knownServer.js'
 import type { ServerDirectory } from './serverDirectory.js'
@@ -62,7 +62,7 @@
   readonly directory: ServerDirectory
   /** Stores of cached prompt levels. */
   readonly stores: () => readonly CacheStore[]
-  readonly fleetLoad: Pick<FleetUse, 'of'>
+  readonly fleetLoad: Pick<FleetLoad, 'of'>
   /** Estimates what it takes to get the levels of a prompt to an engine. */
   readonly estimateLevelFetch: (exchange: Exchange) => LevelFetchEstimate
   readonly weights: Pick<WeightsRollout, 'outdatedSince'>
--- a/packages/foxtaillever-relay/src/servers/serverStatementHandler.ts
+++ b/packages/foxtaillever-relay/src/servers/serverStatementHandler.ts
@@ -12,7 +12,7 @@
   readonly limits: Pick<ServerLimits, 'applyStatement'>
   /** A server asked this instance for backoff. Other instances must know, or the server would have to ask them next. */
   readonly onBackoffRequested: (server: KnownServer) => void
-  readonly log: Pick<RelayLog, 'saysItLeaves' | 'asksForRest' | 'restUnreadable'>
+  readonly log: Pick<RelayLog, 'leavingStated' | 'backoffRequested' | 'backoffUnreadable'>
 }
 
 export class ServerStatementHandler {
@@ -34,18 +34,18 @@
     }
     limits.applyStatement(directory.get(id) ?? server, statement, sentAt)
     if (isLeaving) {
-      log.saysItLeaves(id, requestId, directory.markLeaving(id, now))
+      log.leavingStated(id, requestId, directory.markLeaving(id, now))
     }
     if (hasRun) {
       directory.newestStatedState(id)?.observeTaken(sentAt)
     }
     restMs
-      .ifLeft(text => log.restUnreadable(id, text))
+      .ifLeft(text => log.backoffUnreadable(id, text))
       .ifRight(ms => {
         if (ms > 0) {
           directory.newestStatedState(id)?.observeRest(now + ms, now)
           onBackoffRequested(server)
-          log.asksForRest(id, requestId, ms)
+          log.backoffRequested(id, requestId, ms)
         }
       })
   }
--- a/packages/foxtaillever-relay/src/weights/namedWeights.ts
+++ b/packages/foxtaillever-relay/src/weights/namedWeights.ts
@@ -1,5 +1,5 @@
 /** Weight versions that operators named for each model, and when each replaced the ones before it. */
-import type { NamedNews } from '../peers/peerMessage.js'
+import type { NamedWeightsUpdate } from '../peers/peerMessage.js'
 
 /**
  * Assumed age of weights that were read from the store at the start, milliseconds:
@@ -47,13 +47,13 @@
   }
 
   /** Ages of the known versions to announce, without guesses, which other instances would take for facts. */
-  versionAges (now: number): NamedNews[] {
+  versionAges (now: number): NamedWeightsUpdate[] {
     return [...this.named].flatMap(([model, versions]) =>
       versions.filter(({ isAssumed }) => !isAssumed).map(({ version, since }) => ({ model, version, ageMs: now - since })))
   }
 
   /** Merges a version that another instance announced with its age; the earliest time counts. Returns whether the version is new. */
-  mergeVersion ({ model, version, ageMs }: NamedNews, now: number): boolean {
+  mergeVersion ({ model, version, ageMs }: NamedWeightsUpdate, now: number): boolean {
     const known = this.named.get(model) ?? []
     const isNew = version > (this.newest(model)?.version ?? -1)
     const same = known.find(named => named.version === version)
--- a/packages/foxtaillever-relay/src/weights/orderCoordinator.ts
+++ b/packages/foxtaillever-relay/src/weights/orderCoordinator.ts
@@ -39,9 +39,9 @@
     orders: engineOrders,
     log,
     rank: () => isEligible() ? orderRank(name, eligiblePeers(peers).map(peer => peer.name), lease.lastHolder) : LAST_RANK,
-    outstandingAt: ({ outstanding, hash }) => outstanding + peers.use.of(hash).outstanding,
-    waitMsAt: ({ unreadTokens, hash, listed }) => (unreadTokens + peers.use.of(hash).tokens) / directory.observations.prefillSpeedOf(listed.service).tokensPerMs,
-    announce: updates => peers.tellWeights(updates)
+    outstandingAt: ({ outstanding, hash }) => outstanding + peers.fleetLoad.of(hash).outstanding,
+    waitMsAt: ({ unreadTokens, hash, listed }) => (unreadTokens + peers.fleetLoad.of(hash).tokens) / directory.observations.prefillSpeedOf(listed.service).tokensPerMs,
+    announce: updates => peers.announceWeights(updates)
   })
   return { lease, rollout }
 }
@@ -56,7 +56,7 @@
     random,
     own: fenceLog,
     proxies: () => eligiblePeers(peers).map(({ address }) => address),
-    through: address => peers.link.logThrough(address),
+    through: address => peers.link.proxiedLog(address),
     onFailed: onStoreFailed
   })
   return OrderLease.create({
@@ -70,11 +70,11 @@
     onChanged: ({ offset }) => {
       log.belief('Holds the lease on orders.', { fence: offset })
       // An instance that missed a renewal would request the lease too early, learn of the renewal then, and wait again.
-      peers.tellWeights([])
+      peers.announceWeights([])
     },
     onReleased: () => {
       log.belief('Gave up the lease on orders.', {})
-      peers.tellWeights([])
+      peers.announceWeights([])
     }
   })
 }
--- a/packages/foxtaillever-relay/src/weights/orderLease.ts
+++ b/packages/foxtaillever-relay/src/weights/orderLease.ts
@@ -11,7 +11,7 @@
  * waits.
  */
 import type { Clock } from 'foxtaillever-core'
-import type { LeaseNews } from '../peers/peerMessage.js'
+import type { LeaseUpdate } from '../peers/peerMessage.js'
 import { eraOf } from '../knowledge/storePosition.js'
 import type { FenceLog } from './fenceLog.js'
 
@@ -38,7 +38,7 @@
   readonly incarnation: string
   /** Pause between the orders of two holders, milliseconds. */
   readonly pauseMs: number
-  readonly onChanged: (snapshot: LeaseNews) => void
+  readonly onChanged: (snapshot: LeaseUpdate) => void
   readonly onReleased: () => void
 }
 
@@ -105,12 +105,12 @@
     return this.isRequesting && this.last?.holder === this.options.holder
   }
 
-  snapshot (): LeaseNews | undefined {
+  snapshot (): LeaseUpdate | undefined {
     return this.last && { offset: this.last.offset, holder: this.last.holder, ageMs: this.options.clock.now() - this.last.knownSince }
   }
 
   /** Applies what another instance knows of the lease. */
-  applySnapshot ({ offset, holder, ageMs }: LeaseNews): void {
+  applySnapshot ({ offset, holder, ageMs }: LeaseUpdate): void {
     const knownSince = this.options.clock.now() - ageMs
     if (offset > (this.last?.offset ?? -1)) {
       this.last = { offset, holder, knownSince }
--- a/packages/foxtaillever-relay/src/weights/weightsRollout.ts
+++ b/packages/foxtaillever-relay/src/weights/weightsRollout.ts
@@ -8,7 +8,7 @@
 import { waitUntil } from 'foxtaillever-core'
 import { planRollout, RolloutPhase, type RolloutEngine } from 'foxtaillever-policy/relay/planRollout'
 import { ServerState } from '../model/listedServer.js'
-import type { CurrentEngines, NamedNews, WeightsNews } from '../peers/peerMessage.js'
+import type { CurrentEngines, NamedWeightsUpdate, WeightsUpdate } from '../peers/peerMessage.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import { canBeChanged, EngineChange } from './engineChange.js'
 import { NamedWeights } from './namedWeights.js'
@@ -34,7 +34,7 @@
   /** Changes that this instance carries out, by the engine's id. */
   private readonly changes = new Map<string, EngineChange>()
   /** The latest update for each engine that has not been announced yet. */
-  private readonly pendingUpdates = new Map<string, WeightsNews>()
+  private readonly pendingUpdates = new Map<string, WeightsUpdate>()
   /** When the rollout last made progress, here or elsewhere, milliseconds of Unix time. */
   private progressAt = 0
   private isRunning = false
@@ -67,19 +67,19 @@
   }
 
   /** Ages of the known versions, to announce to other instances. */
-  versionAges (): NamedNews[] {
+  versionAges (): NamedWeightsUpdate[] {
     return this.named.versionAges(this.options.clock.now())
   }
 
   /** Applies a version announced by another instance, which may have learned of it first. */
-  applyVersion (announced: NamedNews): void {
+  applyVersion (announced: NamedWeightsUpdate): void {
     if (this.named.mergeVersion(announced, this.options.clock.now())) {
       this.ensureRunning()
     }
   }
 
   /** Applies an update of the instance that gives orders. */
-  applyUpdate ({ server, model, version, changingMs }: WeightsNews): void {
+  applyUpdate ({ server, model, version, changingMs }: WeightsUpdate): void {
     const { clock, directory } = this.options
     const now = clock.now()
     this.progressAt = now
--- a/packages/foxtaillever-relay/src/weights/weightsRolloutOptions.ts
+++ b/packages/foxtaillever-relay/src/weights/weightsRolloutOptions.ts
@@ -1,6 +1,6 @@
 /** Dependencies of the rollout of new weights. */
 import type { Clock } from 'foxtaillever-core'
-import type { WeightsNews } from '../peers/peerMessage.js'
+import type { WeightsUpdate } from '../peers/peerMessage.js'
 import type { KnownServer } from '../servers/knownServer.js'
 import type { ServerDirectory } from '../servers/serverDirectory.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -21,5 +21,5 @@
   /** Time to read the prompts that wait at the server, milliseconds. */
   readonly waitMsAt: (server: KnownServer) => number
   /** Sends updates to the other instances; called once after each check, for all engines that changed. */
-  readonly announce: (updates: readonly WeightsNews[]) => void
+  readonly announce: (updates: readonly WeightsUpdate[]) => void
 }
