--- a/packages/foxtaillever-policy/src/__tests__/bounds.test.ts
+++ b/packages/foxtaillever-policy/src/__tests__/bounds.test.ts
@@ -97,7 +97,7 @@
       fc.assert(fc.property(fc.array(fc.double({ min: 0.1, max: 1000, noNaN: true }), { minLength: 1, maxLength: 30 }), fc.double({ min: 0, max: 1, noNaN: true }), (ratios, share) => {
         const servers = createServers(ratios.length)
         for (let round = 0; round < 5; round += 1) {
-          servers.forEach((server, index) => server.health.observe(100 * (ratios[index] as number), 100, NOW + round))
+          servers.forEach((server, index) => server.health.recordAnswer(100 * (ratios[index] as number), 100, NOW + round))
           compareServers(servers, { ejectedShare: share, instances: 1, now: NOW + round })
         }
         const ejected = servers.filter(({ health }) => health.standing === Standing.Ejected).length
--- a/packages/foxtaillever-policy/src/attempts/attempt.ts
+++ b/packages/foxtaillever-policy/src/attempts/attempt.ts
@@ -1,6 +1,6 @@
 /** One job at one backend server. */
 import type { WaitingJob } from '../order/waitingJob.js'
-import type { Placement } from '../placement/placement.js'
+import type { Placement } from '../placement/placer.js'
 import { Standing } from '../servers/serverHealth.js'
 import type { Server } from '../servers/server.js'
 
--- a/packages/foxtaillever-policy/src/attempts/attemptTable.ts
+++ b/packages/foxtaillever-policy/src/attempts/attemptTable.ts
@@ -5,7 +5,7 @@
 import { FailureCode, type Failure, type StreamEnd, type StreamStart } from 'foxtaillever-core'
 import { MovingMean } from '../collections/movingMean.js'
 import { RunningShares } from '../order/runningShares.js'
-import type { Placer } from '../placement/placement.js'
+import type { Placer } from '../placement/placer.js'
 import { mayEject } from '../servers/compareServers.js'
 import type { ServerTable } from '../servers/serverTable.js'
 import { FAILURES_TO_EJECT, Standing } from '../servers/serverHealth.js'
@@ -58,12 +58,12 @@
     const { server, sentAt, entry } = attempt
     this.attempts.set(entry.job.id, attempt)
     this.shares.add(entry)
-    server.load.add(attempt.pendingTokens, attempt.reportableTokens, sentAt)
-    server.pending.set(entry.job.id, { sentAt, expectedMs: attempt.expectedMs })
+    server.load.addRequest(attempt.pendingTokens, attempt.reportableTokens, sentAt)
+    server.pendingAnswers.set(entry.job.id, { sentAt, expectedMs: attempt.expectedMs })
     server.longRunning += attempt.isLong ? 1 : 0
     server.suspectsRunning += attempt.isSuspect ? 1 : 0
     if (attempt.isProbe) {
-      server.health.probe(sentAt)
+      server.health.recordProbe(sentAt)
     }
   }
 
@@ -71,24 +71,24 @@
     const { server, placement } = attempt
     attempt.incarnation = start.incarnation
     attempt.startedAt = now
-    this.fleet.observeIncarnation(server, start.incarnation, now)
+    this.fleet.applyIncarnation(server, start.incarnation, now)
     const uncached = Math.max(0, start.promptTokens - start.cachedTokens)
     attempt.expectedMs += server.prefillMs(uncached - (attempt.entry.job.promptTokens - placement.cachedTokens))
     this.setPending(attempt, uncached, uncached, now)
-    this.placer.learn(placement, start.cachedTokens, now)
+    this.placer.recordCacheHits(placement, start.cachedTokens, now)
   }
 
   firstToken (attempt: Attempt, now: number): void {
     const { server, placement, entry } = attempt
     attempt.firstTokenAt = now
-    server.pending.delete(entry.job.id)
+    server.pendingAnswers.delete(entry.job.id)
     this.setPending(attempt, 0, 0, now)
     this.placer.endPrefill(entry.job.id, placement)
-    this.placer.learnPrefilled(placement.levels, server, now)
+    this.placer.recordPrefilled(placement.levels, server, now)
     const observedMs = now - attempt.sentAt
-    server.health.observe(observedMs, attempt.expectedMs, now)
-    const ratio = (observedMs + server.stepMs()) / (attempt.expectedMs + server.stepMs()) / server.health.peers
-    server.limit.observe(ratio, server.load.occupancy(now), now)
+    server.health.recordAnswer(observedMs, attempt.expectedMs, now)
+    const ratio = (observedMs + server.stepMs()) / (attempt.expectedMs + server.stepMs()) / server.health.peerLatenessRatio
+    server.limit.recordFirstToken(ratio, server.load.occupancy(now), now)
     if (attempt.isProbe && server.health.standing === Standing.Ejected) {
       this.judgeProbe(server, ratio, now)
     }
@@ -98,7 +98,7 @@
     const { server } = attempt
     this.service.add(now - (attempt.startedAt || attempt.sentAt))
     if (attempt.firstTokenAt > 0 && end.completionTokens >= LEAST_DECODED) {
-      server.health.observe(now - attempt.firstTokenAt, end.completionTokens * server.stepMs(), now)
+      server.health.recordAnswer(now - attempt.firstTokenAt, end.completionTokens * server.stepMs(), now)
     }
     this.remove(attempt, now)
   }
@@ -108,10 +108,10 @@
     const { server } = attempt
     this.remove(attempt, now)
     if (failure.code === FailureCode.Leaving) {
-      this.fleet.observeLeaving(server, true)
+      this.fleet.setStatedLeaving(server, true)
     }
     if (failure.code === FailureCode.BackendServerRefused) {
-      server.limit.observeRefusal()
+      server.limit.recordRefusal()
     }
     if (serverFaults.has(failure.code)) {
       this.observeFault(attempt, ejectedShare, now)
@@ -123,16 +123,16 @@
     const { server, entry } = attempt
     this.attempts.delete(entry.job.id)
     this.shares.remove(entry)
-    server.pending.delete(entry.job.id)
+    server.pendingAnswers.delete(entry.job.id)
     this.placer.endPrefill(entry.job.id, attempt.placement)
     this.setPending(attempt, 0, 0, now)
-    server.load.remove(now)
+    server.load.removeRequest(now)
     server.longRunning -= attempt.isLong ? 1 : 0
     server.suspectsRunning -= attempt.isSuspect ? 1 : 0
   }
 
   private setPending (attempt: Attempt, pending: number, reportable: number, now: number): void {
-    attempt.server.load.adjust(pending - attempt.pendingTokens, reportable - attempt.reportableTokens, now)
+    attempt.server.load.adjustTokens(pending - attempt.pendingTokens, reportable - attempt.reportableTokens, now)
     attempt.pendingTokens = pending
     attempt.reportableTokens = reportable
   }
@@ -148,7 +148,7 @@
 
   private observeFault ({ server, isProbe }: Attempt, ejectedShare: number, now: number): void {
     const { health } = server
-    health.observeFailure()
+    health.recordFailure()
     if (health.standing === Standing.Ejected) {
       if (isProbe) {
         health.eject(this.fleet.instances, now)
--- a/packages/foxtaillever-policy/src/order/dispatcher.ts
+++ b/packages/foxtaillever-policy/src/order/dispatcher.ts
@@ -12,7 +12,7 @@
 import { PriorityClass, type Preset } from 'foxtaillever-core'
 import { DecayingRate } from '../collections/decayingRate.js'
 import { MovingMean } from '../collections/movingMean.js'
-import type { Placement, Placer } from '../placement/placement.js'
+import type { Placement, Placer } from '../placement/placer.js'
 import type { ServerTable } from '../servers/serverTable.js'
 import type { Server } from '../servers/server.js'
 import { Suspicion, type SuspectTable } from '../suspects/suspectTable.js'
@@ -99,7 +99,7 @@
     return server.room(now) * OVERCOMMIT
   }
   if (isHeavy) {
-    return server.roomForHeavy(now)
+    return server.roomForHeavyAccounts(now)
   }
   if (hasPriorityWork) {
     return server.roomBesidePriority(now)
@@ -138,7 +138,7 @@
       }
     }
     room.queue.endPass()
-    this.heldFor.forEach(server => { server.held = 0 })
+    this.heldFor.forEach(server => { server.heldJobs = 0 })
     this.heldFor.clear()
   }
 
@@ -167,7 +167,7 @@
       weightsVersion: input.weightsVersionOf(entry.job.model),
       failedAt: entry.failedAt,
       isSuspect,
-      isEligible: server => !(isLong && server.longRunning >= server.longRoom()) && !(isSuspect && server.suspectsRunning > 0),
+      isEligible: server => !(isLong && server.longRunning >= server.roomForLongJobs()) && !(isSuspect && server.suspectsRunning > 0),
       hasRoom: server => server.load.occupancy(now) < roomFor(server, room),
       overdueMs,
       serviceMs: input.serviceMs,
@@ -177,7 +177,7 @@
     if (!placement) {
       return false
     }
-    if (placement.held) {
+    if (placement.isHeld) {
       this.hold(entry, placement, now)
       return false
     }
@@ -190,7 +190,7 @@
   }
 
   private hold (entry: WaitingJob, placement: Placement, now: number): void {
-    placement.server.held += 1
+    placement.server.heldJobs += 1
     this.heldFor.add(placement.server)
     if (entry.holdUntil === Infinity) {
       const longest = (entry.latestStart - now) * HOLD_SHARE
--- a/packages/foxtaillever-policy/src/placement/baselines.ts
+++ b/packages/foxtaillever-policy/src/placement/baselines.ts
@@ -1,6 +1,6 @@
 /**
- * The four baselines, kept as simple as they are known in the field so that
- * measurements have something honest to compare with.
+ * The four baseline placement policies, in their usual simple form, as a fair
+ * reference for measurements.
  */
 import { hashNumber, PlacementPolicy, type Random } from 'foxtaillever-core'
 import type { Candidate, Job } from '../job.js'
@@ -13,13 +13,13 @@
   /** Servers with a free slot. */
   readonly servers: readonly Server[]
   readonly random: Random
-  /** Counts placements of this instance. */
-  readonly turn: number
+  /** Placements made by this instance so far. */
+  readonly placementCount: number
 }
 
 type BaselineCost = (input: BaselineInput, server: Server, index: number) => number
 
-/** Rendezvous: the same prefix ranks the servers the same way at every instance. */
+/** Rendezvous hashing: every instance ranks the servers for a prefix in the same order. */
 function prefixCost ({ job }: BaselineInput, server: Server): number {
   const level = job.levels[0]
   return hashNumber(`${job.account}/${job.model}/${level?.hash ?? ''}/${server.name}`)
@@ -27,7 +27,7 @@
 
 const costs: Record<Baseline, BaselineCost> = {
   [PlacementPolicy.Random]: input => input.random.next(),
-  [PlacementPolicy.RoundRobin]: ({ turn, servers }, _, index) => (index - turn % servers.length + servers.length) % servers.length,
+  [PlacementPolicy.RoundRobin]: ({ placementCount: turn, servers }, _, index) => (index - turn % servers.length + servers.length) % servers.length,
   [PlacementPolicy.LeastOutstanding]: (input, server) => server.load.outstanding + input.random.next() * 0.5,
   [PlacementPolicy.PrefixAffinity]: prefixCost
 }
@@ -37,5 +37,5 @@
   const costOf = costs[baseline]
   return input.servers
     .map((server, index) => ({ server: server.name, cost: costOf(input, server, index) }))
-    .sort((one, other) => one.cost - other.cost)
+    .sort((a, b) => a.cost - b.cost)
 }
--- a/packages/foxtaillever-policy/src/placement/placement.ts
+++ b/packages/foxtaillever-policy/src/placement/placer.ts
@@ -1,51 +1,51 @@
 /**
- * Chooses a backend server for a job, or says that waiting for one that is full
- * is better than going to one that is free. One handler for each policy; the
- * table is the only place that knows them all.
+ * Chooses a backend server for a job, or decides that waiting for a full server
+ * is better than using a free one. Each policy has one handler, listed in one
+ * table.
  */
 import { PlacementPolicy, type Random } from 'foxtaillever-core'
 import type { Candidate, Job } from '../job.js'
 import type { ServerTable } from '../servers/serverTable.js'
 import type { Server } from '../servers/server.js'
 import { rankByBaseline, type Baseline } from './baselines.js'
-import { collectCandidates, collectForSuspect, type InstancePlace } from './candidates.js'
-import { weighServer, type WeighedServer } from './expectedFirstToken.js'
+import { collectCandidates, collectSuspectCandidates, type InstancePosition } from './candidates.js'
+import { scoreServer, type ScoredServer } from './expectedFirstToken.js'
 import { computeHomes, resizeHomes, type LevelHomes } from './homes.js'
 import { PrefixTable } from './prefixTable.js'
-import { recomputationPrice } from './recomputation.js'
+import { recomputationPrice } from './recomputationPrice.js'
 
-/** Costs closer than this are equal; a late report is no better than that. */
-const EQUAL_MS = 2
-const EQUAL_SHARE = 0.05
+/** Costs closer than this count as equal; delayed load reports are no more precise. */
+const EQUAL_COST_MS = 2
+const EQUAL_COST_SHARE = 0.05
 
-/** Candidates kept for the explanation. */
-const EXPLAINED = 8
+/** Candidates that the explanation of a decision lists. */
+const EXPLAINED_CANDIDATES = 8
 
-/** An engine caches whole blocks; a level counts as met when this share of it is. */
+/** Engines cache whole blocks, so a level counts as a hit when this share of it was cached. */
 const HIT_SHARE = 0.9
 
 export interface PlacementRequest {
   readonly job: Job
   readonly weightsVersion: string
   readonly failedAt: readonly string[]
-  /** It was in flight at a crash. */
+  /** The job was in flight when a server crashed. */
   readonly isSuspect: boolean
   /** Whether the server may take this job at all, however empty it is. */
   readonly isEligible: (server: Server) => boolean
-  /** Whether it has room for this job now. */
+  /** Whether the server has room for this job now. */
   readonly hasRoom: (server: Server) => boolean
-  /** How much longer than expected the job has been held, milliseconds; 0 while its hold lasts. */
+  /** How long ago the job's hold ended, milliseconds; 0 during the hold. */
   readonly overdueMs: number
   readonly serviceMs: number
-  /** How much a prefill done again weighs against waiting. */
+  /** Weight of a repeated prefill against waiting. */
   readonly recomputationWeight: number
   readonly now: number
 }
 
 export interface Placement {
   readonly server: Server
-  /** The server is full, and waiting for it is the cheapest. */
-  readonly held: boolean
+  /** The server is full, and waiting for it costs least. */
+  readonly isHeld: boolean
   readonly waitMs: number
   readonly expectedMs: number
   readonly promptTokens: number
@@ -60,11 +60,11 @@
   readonly distanceTo: (failureDomain: string) => number
 }
 
-/** A weighed server as this job can have it now. */
+/** A scored server, with the cost of using it now or waiting for it. */
 interface Offer {
-  readonly weighed: WeighedServer
+  readonly scored: ScoredServer
   readonly cost: number
-  /** Whether it takes the job now; else the job is held for it. */
+  /** Whether the server takes the job now; otherwise the job is held for it. */
   readonly isOpen: boolean
 }
 
@@ -72,10 +72,10 @@
 
 export class Placer {
   readonly prefixes = PrefixTable.create()
-  private turn = 0
+  private placementCount = 0
   private readonly handlers: Record<PlacementPolicy, PlacementHandler>
 
-  private instance: InstancePlace = { index: 0, count: 1 }
+  private position: InstancePosition = { index: 0, count: 1 }
 
   private constructor (private readonly options: PlacerOptions) {
     const baseline = (policy: Baseline): PlacementHandler => request => this.placeByBaseline(policy, request)
@@ -98,16 +98,16 @@
   }
 
   /**
-   * The job was sent: its prefixes are that much hotter, and will be cached there.
-   * @param decodeMs share of the server's time that its decode takes.
+   * Records that the job was sent: adds its work to the heat of its prefixes, which the server will cache.
+   * @param decodeMs share of the server's time that the decode takes.
    */
-  sent (jobId: string, placement: Placement, decodeMs: number, now: number): void {
+  recordSend (jobId: string, placement: Placement, decodeMs: number, now: number): void {
     const { server, levels, cachedTokens, promptTokens } = placement
     const shared = levels.at(-2)?.tokens ?? 0
-    // Heat is counted as if the shared levels were cached: were misses heat, each would make homes that miss more.
-    const work = server.prefillMs(promptTokens - shared) + decodeMs
+    // Heat counts the shared levels as cached. If misses added heat, they would add homes, which miss again.
+    const workMs = server.prefillMs(promptTokens - shared) + decodeMs
     for (const { record, tokens } of levels) {
-      record.warm(work, now)
+      record.recordUse(workMs, now)
       resizeHomes(record, this.options.fleet.instances, now)
       if (tokens > cachedTokens) {
         record.startWarming({ server, jobId, readyAt: now + placement.expectedMs })
@@ -115,39 +115,38 @@
     }
   }
 
-  /** The prefill has ended, or the job before it. */
+  /** Called when the prefill has ended, or the job ended before it. */
   endPrefill (jobId: string, { levels }: Placement): void {
     levels.forEach(({ record }) => record.endWarming(jobId))
   }
 
-  /** Takes the place of this instance among all. */
-  observePlace (place: InstancePlace): void {
-    this.instance = place
+  setInstancePosition (position: InstancePosition): void {
+    this.position = position
   }
 
-  /** The engine said how much it had cached: a hit or miss for each level. */
-  learn ({ levels, server, promptTokens }: Placement, cachedTokens: number, now: number): void {
-    server.load.observeCached(cachedTokens / Math.max(1, promptTokens))
+  /** Records a hit or a miss for each level, from the number of cached tokens that the engine reported. */
+  recordCacheHits ({ levels, server, promptTokens }: Placement, cachedTokens: number, now: number): void {
+    server.load.recordCachedShare(cachedTokens / Math.max(1, promptTokens))
     for (const [depth, { record, tokens, homes }] of levels.entries()) {
-      const holder = record.holderAt(server)
+      const holder = record.findHolder(server)
       const hit = cachedTokens >= tokens * HIT_SHARE
       if (holder) {
-        server.retention.observe(now - holder.usedAt, hit)
+        server.retention.recordLookup(now - holder.usedAt, hit)
       }
       if (homes.includes(server)) {
-        this.prefixes.observeHome(record, depth, hit)
+        this.prefixes.recordHomeHit(record, depth, hit)
       }
       if (hit) {
-        record.learn(server, now)
+        record.addHolder(server, now)
       } else {
-        record.forget(server)
+        record.removeHolder(server)
       }
     }
   }
 
-  /** The prefill is done: the server now has every level. */
-  learnPrefilled (levels: readonly LevelHomes[], server: Server, now: number): void {
-    levels.forEach(({ record }) => record.learn(server, now))
+  /** Records that the prefill is done and the server has cached every level. */
+  recordPrefilled (levels: readonly LevelHomes[], server: Server, now: number): void {
+    levels.forEach(({ record }) => record.addHolder(server, now))
   }
 
   private placeByBaseline (policy: Baseline, request: PlacementRequest): Placement | undefined {
@@ -157,17 +156,17 @@
     if (servers.length === 0) {
       return undefined
     }
-    const candidates = rankByBaseline(policy, { job, servers, random: this.options.random, turn: this.turn++ })
+    const candidates = rankByBaseline(policy, { job, servers, random: this.options.random, placementCount: this.placementCount++ })
     const server = this.options.fleet.get(candidates[0]?.server ?? '')
     return server && {
       server,
-      held: false,
+      isHeld: false,
       waitMs: 0,
       expectedMs: server.prefillMs(job.promptTokens),
       promptTokens: job.promptTokens,
       cachedTokens: 0,
       levels: [],
-      candidates: candidates.slice(0, EXPLAINED)
+      candidates: candidates.slice(0, EXPLAINED_CANDIDATES)
     }
   }
 
@@ -178,49 +177,49 @@
     if (servers.length === 0) {
       return undefined
     }
-    const ranked = fleet.rankedFor(job.model)
+    const ranked = fleet.rankerFor(job.model)
     const levels = computeHomes(this.prefixes, { job, weightsVersion, ranked, epoch: fleet.epoch })
     const input = { job, levels, distanceTo, recomputationPrice: recomputationPrice(fleet.utilisation) * request.recomputationWeight, failedAt: request.failedAt, serviceMs: request.serviceMs, now }
-    const candidates = request.isSuspect ? collectForSuspect(job, ranked, this.instance, now) : collectCandidates(job, servers, levels, random, now)
+    const candidates = request.isSuspect ? collectSuspectCandidates(job, ranked, this.position, now) : collectCandidates(job, servers, levels, random, now)
     const offers = candidates
       .filter(server => request.isEligible(server))
-      .map(server => createOffer(weighServer(server, input), request))
-      .sort((one, other) => one.cost - other.cost)
-    const chosen = this.choose(offers)
+      .map(server => createOffer(scoreServer(server, input), request))
+      .sort((a, b) => a.cost - b.cost)
+    const chosen = this.chooseOffer(offers)
     return chosen && {
-      server: chosen.weighed.server,
-      held: !chosen.isOpen,
-      waitMs: chosen.weighed.waitMs,
-      expectedMs: chosen.weighed.firstTokenMs,
+      server: chosen.scored.server,
+      isHeld: !chosen.isOpen,
+      waitMs: chosen.scored.waitMs,
+      expectedMs: chosen.scored.firstTokenMs,
       promptTokens: job.promptTokens,
-      cachedTokens: chosen.weighed.cachedTokens,
+      cachedTokens: chosen.scored.cachedTokens,
       levels,
-      candidates: offers.slice(0, EXPLAINED).map(({ weighed, cost }) => ({ server: weighed.server.name, cost }))
+      candidates: offers.slice(0, EXPLAINED_CANDIDATES).map(({ scored, cost }) => ({ server: scored.server.name, cost }))
     }
   }
 
   /**
-   * Draws among the open servers that cost about as little as the best one.
-   * Were the best always taken, all instances that read one report would take
-   * the same.
+   * Draws among the open servers whose cost is about equal to the lowest one. If
+   * the best server were always chosen, all instances that read the same load
+   * report would choose the same server.
    */
-  private choose (offers: readonly Offer[]): Offer | undefined {
+  private chooseOffer (offers: readonly Offer[]): Offer | undefined {
     const best = offers[0]
     if (!best) {
       return undefined
     }
-    const limit = best.cost + Math.max(EQUAL_MS, best.cost * EQUAL_SHARE)
+    const limit = best.cost + Math.max(EQUAL_COST_MS, best.cost * EQUAL_COST_SHARE)
     const equal = offers.filter(({ isOpen, cost }) => isOpen && cost <= limit)
     return equal[this.options.random.below(equal.length)] ?? best
   }
 }
 
 /**
- * A full server costs the wait for it. A job that has waited there longer than
- * was expected waits behind something that the estimate does not see, so its
+ * The cost of a full server includes the wait for it. A job whose wait exceeds
+ * the expected one is behind something that the estimate does not see, so the
  * cost rises with each millisecond until another server is cheaper.
  */
-function createOffer (weighed: WeighedServer, { hasRoom, overdueMs }: PlacementRequest): Offer {
-  const isOpen = hasRoom(weighed.server) && !(weighed.isWarming && overdueMs === 0)
-  return { weighed, isOpen, cost: isOpen ? weighed.cost : weighed.cost + overdueMs }
+function createOffer (scored: ScoredServer, { hasRoom, overdueMs }: PlacementRequest): Offer {
+  const isOpen = hasRoom(scored.server) && !(scored.isWarming && overdueMs === 0)
+  return { scored, isOpen, cost: isOpen ? scored.cost : scored.cost + overdueMs }
 }
--- a/packages/foxtaillever-policy/src/placement/prefixTable.ts
+++ b/packages/foxtaillever-policy/src/placement/prefixTable.ts
@@ -1,7 +1,7 @@
 /**
- * What this instance knows of each prefix: how hot it is, how many home servers
- * that makes, which servers rank first for it and where it was met in a cache.
- * Bounded; a prefix dropped from the table is only placed by computation again.
+ * What this instance knows of each prefix: its heat, the number of its home
+ * servers, their ranking, and the servers seen with the prefix in their cache.
+ * The table is bounded; for a dropped prefix the homes are computed again.
  */
 import { hashNumber, type PrefixLevel } from 'foxtaillever-core'
 import { RecentMap } from '../collections/recentMap.js'
@@ -10,38 +10,38 @@
 import type { Job } from '../job.js'
 import type { Server } from '../servers/server.js'
 
-/** About 2 MB; at 15 requests a second, all levels seen in a minute. */
-const PREFIX_BOUND = 4096
+/** Takes about 2 MB; at 15 requests a second this covers all levels seen in a minute. */
+const MAX_PREFIXES = 4096
 
-/** Servers remembered to hold a prefix; more are found by rank. */
-const HOLDER_BOUND = 6
+/** Servers stored as holders of a prefix; others are found by rank. */
+const MAX_HOLDERS = 6
 
-/** Heat is forgotten in this time, so that a key that cools gives its homes back. */
-const HEAT_FADE_MS = 5000
+/** Time constant of the decay of heat, so that a prefix that is used less loses homes. */
+const HEAT_DECAY_MS = 5000
 
-/** Heat of a new prefix is worked out as if it were this old, so that a burst is no rate. */
-const LEAST_AGE_MS = 500
+/** Minimum age assumed for a new prefix, so that a burst does not count as a rate. */
+const MIN_AGE_MS = 500
 
-/** Standard deviations of a Poisson count taken off it. */
-const DOUBT = 1.5
+/** Standard deviations subtracted from a Poisson count, as a lower bound. */
+const UNCERTAINTY_DEVIATIONS = 1.5
 
-/** Chance that a home holds a prefix, before any request came. */
+/** Probability that a home holds a prefix, before the first request. */
 const HOME_HIT_PRIOR = 0.5
 
 const HOME_HIT_GAIN = 0.2
 
-/** Over all prefixes of a depth the mean is over more requests. */
+/** Gain of the mean over all prefixes of one depth, which averages more requests. */
 const DEPTH_GAIN = 0.05
 
-/** A server met with the prefix in its cache. */
+/** A server that was seen with the prefix in its cache. */
 export interface Holder {
   readonly server: Server
-  /** Of the engine that held it; after a restart the entry means nothing. */
+  /** Incarnation of the engine that held the prefix; after a restart the entry is invalid. */
   readonly incarnation: string
   usedAt: number
 }
 
-/** A prefill under way that will leave the prefix in a server's cache. */
+/** A prefill in progress that will leave the prefix in a server's cache. */
 export interface Warming {
   readonly server: Server
   readonly jobId: string
@@ -51,13 +51,13 @@
 
 export class PrefixRecord {
   readonly hash: number
-  /** Work that the prefix brings, server-milliseconds a millisecond. */
-  private readonly work = DecayingRate.create(HEAT_FADE_MS)
-  private readonly uses = DecayingRate.create(HEAT_FADE_MS)
-  /** Share of the requests sent to a home that found the prefix there. */
+  /** Work caused by the prefix, milliseconds of server time a millisecond. */
+  private readonly work = DecayingRate.create(HEAT_DECAY_MS)
+  private readonly uses = DecayingRate.create(HEAT_DECAY_MS)
+  /** Share of the requests sent to a home that found the prefix cached. */
   readonly homeHit: MovingMean
   homeCount = 1
-  /** Milliseconds of Unix time; 0 before. */
+  /** Milliseconds of Unix time; 0 before the first use. */
   private firstUsedAt = 0
   ranking: readonly Server[] = []
   rankingEpoch = -1
@@ -69,46 +69,47 @@
     this.homeHit = MovingMean.create(homeHitPrior, HOME_HIT_GAIN)
   }
 
-  /** @param homeHitPrior what is expected of its homes before the first request. */
+  /** @param homeHitPrior assumed hit rate of its homes before the first request. */
   static create (key: string, homeHitPrior: number): PrefixRecord {
     return new PrefixRecord(key, homeHitPrior)
   }
 
-  warm (work: number, now: number): void {
+  recordUse (work: number, now: number): void {
     this.firstUsedAt ||= now
     this.work.add(work, now)
     this.uses.add(1, now)
   }
 
   /**
-   * Work a millisecond that the uses seen here prove. Of few uses little is
-   * proven: one seen by chance, counted for 380 instances, would look hot.
+   * Work a millisecond, as a lower bound given the number of uses seen here. A
+   * few uses are weak evidence: one chance use, multiplied by 380 instances,
+   * would look hot.
    */
   heatAt (now: number): number {
-    const uses = this.uses.value(now) * HEAT_FADE_MS
-    const proven = uses <= 0 ? 0 : Math.max(0, 1 - DOUBT / Math.sqrt(uses))
-    // A prefix met a second ago has a tenth of its heat in the mean; it is hot nonetheless.
-    const age = Math.max(LEAST_AGE_MS, now - this.firstUsedAt)
-    return this.work.value(now) * proven / (1 - Math.exp(-age / HEAT_FADE_MS))
+    const uses = this.uses.value(now) * HEAT_DECAY_MS
+    const proven = uses <= 0 ? 0 : Math.max(0, 1 - UNCERTAINTY_DEVIATIONS / Math.sqrt(uses))
+    // The mean has only a tenth or so of the heat of a prefix first used a second ago; dividing corrects for that.
+    const age = Math.max(MIN_AGE_MS, now - this.firstUsedAt)
+    return this.work.value(now) * proven / (1 - Math.exp(-age / HEAT_DECAY_MS))
   }
 
-  holderAt (server: Server): Holder | undefined {
+  findHolder (server: Server): Holder | undefined {
     return this.holders.find(holder => holder.server === server && holder.incarnation === server.incarnation)
   }
 
-  heldBy (): readonly Holder[] {
+  listHolders (): readonly Holder[] {
     return this.holders
   }
 
-  /** The server holds the prefix as of now. */
-  learn (server: Server, now: number): void {
-    const known = this.holderAt(server)
+  /** Records that the server holds the prefix now. */
+  addHolder (server: Server, now: number): void {
+    const known = this.findHolder(server)
     if (known) {
       known.usedAt = now
       return
     }
     const others = this.holders.filter(holder => holder.server !== server)
-    const kept = others.sort((one, other) => other.usedAt - one.usedAt).slice(0, HOLDER_BOUND - 1)
+    const kept = others.sort((a, b) => b.usedAt - a.usedAt).slice(0, MAX_HOLDERS - 1)
     this.holders = [...kept, { server, incarnation: server.incarnation, usedAt: now }]
   }
 
@@ -120,17 +121,17 @@
     this.warmings = this.warmings.filter(warming => warming.jobId !== jobId)
   }
 
-  warmingAt (server: Server): Warming | undefined {
+  findWarming (server: Server): Warming | undefined {
     return this.warmings.find(warming => warming.server === server)
   }
 
-  forget (server: Server): void {
+  removeHolder (server: Server): void {
     this.holders = this.holders.filter(holder => holder.server !== server)
   }
 }
 
 export class PrefixTable {
-  private readonly records = RecentMap.create<PrefixRecord>(PREFIX_BOUND)
+  private readonly records = RecentMap.create<PrefixRecord>(MAX_PREFIXES)
   private readonly homeHitByDepth: MovingMean[] = []
 
   private constructor () {}
@@ -144,28 +145,28 @@
   }
 
   /**
-   * Account, model and weights are part of the key: no other account's work is
-   * ever counted on.
+   * Returns the record of a prefix and marks it as used. Account, model and
+   * weights are part of the key, so accounts never share a record.
    * @param depth of the level, 0 for the shortest prefix.
    */
-  use (job: Job, weightsVersion: string, level: PrefixLevel, depth: number): PrefixRecord {
+  getOrCreate (job: Job, weightsVersion: string, level: PrefixLevel, depth: number): PrefixRecord {
     const key = `${job.account}/${job.model}/${weightsVersion}/${level.hash}`
     const known = this.records.use(key)
     if (known) {
       return known
     }
-    const record = PrefixRecord.create(key, this.homeHitAt(depth).value)
+    const record = PrefixRecord.create(key, this.homeHitOfDepth(depth).value)
     this.records.set(key, record)
     return record
   }
 
-  /** A request went to a home of a prefix and found it there, or not. */
-  observeHome (record: PrefixRecord, depth: number, hit: boolean): void {
+  /** Records whether a request that went to a home of the prefix found it cached. */
+  recordHomeHit (record: PrefixRecord, depth: number, hit: boolean): void {
     record.homeHit.add(hit ? 1 : 0)
-    this.homeHitAt(depth).add(hit ? 1 : 0)
+    this.homeHitOfDepth(depth).add(hit ? 1 : 0)
   }
 
-  private homeHitAt (depth: number): MovingMean {
+  private homeHitOfDepth (depth: number): MovingMean {
     const known = this.homeHitByDepth[depth] ?? MovingMean.create(HOME_HIT_PRIOR, DEPTH_GAIN)
     this.homeHitByDepth[depth] = known
     return known
--- a/packages/foxtaillever-policy/src/placement/retention.ts
+++ b/packages/foxtaillever-policy/src/placement/retention.ts
@@ -1,19 +1,19 @@
 /**
- * How long an engine keeps a cached prefix that nobody uses, learnt from hits
- * and misses. Engines evict within seconds, how many depends on their load, and
- * they do not say. Relying on a prefix that is gone costs its whole prefill.
+ * Estimates how long an engine keeps an unused prefix cached, from hits and
+ * misses. Engines evict within seconds, depending on their load, and do not
+ * report it. Relying on an evicted prefix costs its whole prefill.
  */
 
-const FIRST_HALF_LIFE_MS = 10_000
-const SHORTEST_MS = 1000
-const LONGEST_MS = 600_000
+const INITIAL_HALF_LIFE_MS = 10_000
+const MIN_HALF_LIFE_MS = 1000
+const MAX_HALF_LIFE_MS = 600_000
 
-/** One miss weighs more than one hit: a wrong hope costs more than a lost chance. */
-const STRETCH = 1.1
-const SHRINK = 0.8
+/** A miss changes the half-life more than a hit: expecting an evicted prefix costs more than missing a cached one. */
+const GROWTH_ON_HIT = 1.1
+const SHRINK_ON_MISS = 0.8
 
 export class Retention {
-  private halfLifeMs = FIRST_HALF_LIFE_MS
+  private halfLifeMs = INITIAL_HALF_LIFE_MS
 
   private constructor () {}
 
@@ -21,17 +21,17 @@
     return new Retention()
   }
 
-  /** Chance that what was used then is still cached. */
-  chance (unusedMs: number): number {
+  /** Probability that a prefix unused for this long is still cached. */
+  chanceCached (unusedMs: number): number {
     return 2 ** -(Math.max(0, unusedMs) / this.halfLifeMs)
   }
 
-  observe (unusedMs: number, hit: boolean): void {
+  recordLookup (unusedMs: number, hit: boolean): void {
     if (hit && unusedMs > this.halfLifeMs / 4) {
-      this.halfLifeMs = Math.min(LONGEST_MS, this.halfLifeMs * STRETCH)
+      this.halfLifeMs = Math.min(MAX_HALF_LIFE_MS, this.halfLifeMs * GROWTH_ON_HIT)
     }
     if (!hit && unusedMs < this.halfLifeMs * 4) {
-      this.halfLifeMs = Math.max(SHORTEST_MS, this.halfLifeMs * SHRINK)
+      this.halfLifeMs = Math.max(MIN_HALF_LIFE_MS, this.halfLifeMs * SHRINK_ON_MISS)
     }
   }
 }
--- a/packages/foxtaillever-policy/src/scheduler.ts
+++ b/packages/foxtaillever-policy/src/scheduler.ts
@@ -18,7 +18,7 @@
 import { Dispatcher, type Dispatched } from './order/dispatcher.js'
 import type { WaitingJob } from './order/waitingJob.js'
 import { WaitingRoom } from './order/waitingRoom.js'
-import { Placer } from './placement/placement.js'
+import { Placer } from './placement/placer.js'
 import { decideRetry } from './retries/decideRetry.js'
 import { RetryBudget } from './retries/retryBudget.js'
 import { dumpScheduler, type SchedulerState } from './schedulerState.js'
@@ -95,13 +95,13 @@
 
   /** Takes the instance list's word, or the server's own refusal, on a backend server. */
   observeListed (server: string, state: ListedState, _now: number): void {
-    this.fleet.observeListed(server, state)
+    this.fleet.applyListedState(server, state)
   }
 
   /** Takes a load report; it is late by the engine's lag. */
   observeLoad (server: string, report: LoadReport, now: number): void {
     this.suspects.observeIncarnation(server, report.incarnation, report.madeAt, now)
-    this.fleet.observeLoad(server, report, now)
+    this.fleet.applyLoadReport(server, report, now)
   }
 
   /**
@@ -110,7 +110,7 @@
    */
   observeInstances (count: number, index = 0): void {
     this.instances = Math.max(1, count)
-    this.placer.observePlace({ index, count: this.instances })
+    this.placer.setInstancePosition({ index, count: this.instances })
     this.intake.share.observeInstances(this.instances)
     this.fleet.instances = this.instances
     this.setDrainPrior()
@@ -256,7 +256,7 @@
     const attempt = Attempt.create({ entry, placement, isLong, isSuspect, sentAt: now })
     this.room.serve(entry)
     this.intake.drain.serve(entry.cost)
-    this.placer.sent(entry.job.id, placement, entry.decodeMs / placement.server.configured.slots, now)
+    this.placer.recordSend(entry.job.id, placement, entry.decodeMs / placement.server.configured.slots, now)
     this.attempts.add(attempt)
     this.assignments.push({ jobId: entry.job.id, server: placement.server.name, candidates: placement.candidates, rule: this.preset.placement })
   }
--- a/packages/foxtaillever-policy/src/servers/compareServers.ts
+++ b/packages/foxtaillever-policy/src/servers/compareServers.ts
@@ -1,37 +1,38 @@
 /**
- * Compares backend servers with their peers and sets aside those that stand
- * out.
+ * Compares backend servers with their peers and ejects those that are much
+ * slower.
  *
- * A server that is slow (a failing disk, a hot accelerator) answers correctly,
- * so nothing fails, and every request it gets is late. One notices a p99 many
- * times the median while one server's queue never empties. Comparing with the
- * peers' median and not with a fixed time keeps a fleet-wide slowdown from
- * emptying the fleet, and so does the bound on the share set aside.
+ * A slow server (a failing disk, a hot accelerator) answers correctly, so
+ * nothing fails, but every request that it gets is late. The symptom is a p99
+ * many times the median while one server's queue never empties. Two rules keep a
+ * fleet-wide slowdown from ejecting the fleet: servers are compared with the
+ * median of their peers instead of a fixed time, and the ejected share is
+ * bounded.
  */
 import { Standing } from './serverHealth.js'
 import type { Server } from './server.js'
 
-/** Below this factor over the peers' median a server is as good as they are. */
-const NOTICED = 2
+/** Up to this factor over the peers' median, a server counts as equally fast. */
+const SLOW_RATIO = 2
 
-/** Above it the server is set aside. Between the two it gets less by its cost. */
-const EJECTED = 4
+/** Above this factor the server is ejected. Between the two factors its higher cost sends it less work. */
+const EJECT_RATIO = 4
 
-/** Answers before lateness ejects; one late answer proves nothing. */
-const LEAST_ANSWERS = 3
+/** Answers needed before lateness can eject a server; one late answer is no evidence. */
+const MIN_ANSWERS = 3
 
-/** A first token this late counts though it has not come; slow servers answer seldom. */
+/** A first token still missing after this time counts as late; slow servers answer too seldom to wait for it. */
 const OVERDUE_MS = 250
 
-/** Lateness now: of answers given, or of the oldest answer owed when that is worse. */
+/** Current lateness: of past answers, or of the oldest pending answer when that is worse. */
 function latenessOf (server: Server, now: number): number {
-  const ratio = server.health.ratio(now)
-  const [oldest] = server.pending.values()
-  const owedMs = oldest === undefined ? 0 : now - oldest.sentAt
-  if (oldest === undefined || owedMs < OVERDUE_MS) {
+  const ratio = server.health.latenessRatio(now)
+  const [oldest] = server.pendingAnswers.values()
+  const overdueMs = oldest === undefined ? 0 : now - oldest.sentAt
+  if (oldest === undefined || overdueMs < OVERDUE_MS) {
     return ratio
   }
-  return Math.max(ratio, owedMs / Math.max(OVERDUE_MS, oldest.expectedMs))
+  return Math.max(ratio, overdueMs / Math.max(OVERDUE_MS, oldest.expectedMs))
 }
 
 function median (sorted: readonly number[]): number {
@@ -39,7 +40,7 @@
 }
 
 export interface ComparisonInput {
-  /** Most of the peers set aside at once, 0 to 1. */
+  /** Maximum share of the peers ejected at once, 0 to 1. */
   readonly ejectedShare: number
   /** Entry instances. */
   readonly instances: number
@@ -49,27 +50,27 @@
 /** @param servers the peers: all servers in service with the same models. */
 export function compareServers (servers: readonly Server[], input: ComparisonInput): void {
   const { now } = input
-  const lateness = servers.map(server => latenessOf(server, now)).sort((one, other) => one - other)
-  const peers = Math.max(1, median(lateness))
+  const lateness = servers.map(server => latenessOf(server, now)).sort((a, b) => a - b)
+  const medianLateness = Math.max(1, median(lateness))
   for (const server of servers) {
-    const factor = latenessOf(server, now) / peers
-    server.health.peers = peers
-    server.health.slowness = factor > NOTICED ? factor : 1
+    const factor = latenessOf(server, now) / medianLateness
+    server.health.peerLatenessRatio = medianLateness
+    server.health.slowness = factor > SLOW_RATIO ? factor : 1
   }
   ejectWorst(servers, input)
 }
 
 function isEjectable (server: Server, now: number): boolean {
   const { health } = server
-  const overdue = latenessOf(server, now) > health.ratio(now)
-  const isSlow = health.slowness > EJECTED && (health.answers >= LEAST_ANSWERS || overdue)
+  const overdue = latenessOf(server, now) > health.latenessRatio(now)
+  const isSlow = health.slowness > EJECT_RATIO && (health.answerCount >= MIN_ANSWERS || overdue)
   return health.standing === Standing.Open && isSlow
 }
 
 function ejectWorst (servers: readonly Server[], { ejectedShare, instances, now }: ComparisonInput): void {
   const worst = servers
     .filter(server => isEjectable(server, now))
-    .sort((one, other) => other.health.slowness - one.health.slowness)
+    .sort((a, b) => b.health.slowness - a.health.slowness)
   for (const server of worst) {
     if (mayEject(servers, ejectedShare)) {
       server.health.eject(instances, now)
@@ -77,7 +78,7 @@
   }
 }
 
-/** Whether one more may be set aside without passing the share. */
+/** Whether one more server may be ejected without exceeding the share. */
 export function mayEject (servers: readonly Server[], share: number): boolean {
   const ejected = servers.filter(server => server.health.standing === Standing.Ejected).length
   return ejected + 1 <= Math.floor(servers.length * share)
--- a/packages/foxtaillever-policy/src/servers/concurrencyLimit.ts
+++ b/packages/foxtaillever-policy/src/servers/concurrencyLimit.ts
@@ -1,38 +1,38 @@
 /**
- * How many requests to have at one backend server at once. The configured slots
- * are where it starts; what the server then does decides.
+ * Adaptive limit of concurrent requests at one backend server. It starts at the
+ * configured slots and follows late answers and refusals.
  *
- * Without it, a server that runs with less than its configured room (another
- * tenant, a throttled accelerator) collects a queue that no caller's deadline
- * survives. One notices a rising time to first token at one server while its
+ * Without it, a server with less capacity than configured (another tenant, a
+ * throttled accelerator) builds up a queue in which every request misses its
+ * deadline. The symptom is a rising time to first token at one server while its
  * peers have room.
  */
 
-/** First token later than this many times the expected: the server is too full. */
+/** A first token later than this many times the expected time means that the server is too full. */
 const LATE_RATIO = 2
 
-/** Halves the limit in about seven late answers. */
-const DECREASE = 0.9
+/** Factor for a late answer; about seven of them halve the limit. */
+const DECREASE_FACTOR = 0.9
 
-/** A refusal is stronger proof than a late answer. */
-const DECREASE_ON_REFUSAL = 0.7
+/** Factor for a refusal, which is stronger evidence than a late answer. */
+const REFUSAL_DECREASE_FACTOR = 0.7
 
-/** Lateness at a server with less than this of its limit taken has another cause. */
+/** Lateness at a server that uses less than this share of its limit has another cause. */
 const FULL_SHARE = 0.75
 
-/** Late answers of one batch count once. */
-const DECREASE_EVERY_MS = 250
+/** Minimum time between two decreases, so that the late answers of one batch count once. */
+const DECREASE_INTERVAL_MS = 250
 
-/** Below this share of the slots a server is not too full but too slow, which comparison with its peers tells. */
-const LEAST_SHARE = 0.25
+/** Lower bound, as a share of the slots; a server that is late below it is slow, which the comparison with its peers detects. */
+const MIN_SHARE = 0.25
 
-/** Room above the slots, so that the engine's batch never runs dry between two requests. */
+/** Room above the slots, so that the engine's batch is never empty between two requests. */
 const SURPLUS_SHARE = 0.125
 
 export class ConcurrencyLimit {
   private limit: number
-  /** No further decrease before, milliseconds of Unix time. */
-  private decreaseAt = 0
+  /** Earliest time of the next decrease, milliseconds of Unix time. */
+  private nextDecreaseAt = 0
 
   private constructor (private slots: number) {
     this.limit = slots
@@ -46,7 +46,7 @@
     return this.limit
   }
 
-  /** Takes newly configured slots. */
+  /** Restarts from the slots when their configured number changes. */
   resize (slots: number): void {
     if (slots !== this.slots) {
       this.slots = slots
@@ -55,32 +55,32 @@
   }
 
   /**
-   * @param ratio observed against expected time to first token.
-   * @param occupancy requests at the server; the limit grows only when it binds.
+   * @param ratio observed time to first token divided by the expected one.
+   * @param occupancy requests at the server; the limit grows only when they reach it.
    */
-  observe (ratio: number, occupancy: number, now: number): void {
+  recordFirstToken (ratio: number, occupancy: number, now: number): void {
     if (ratio > LATE_RATIO) {
       this.decrease(occupancy, now)
       return
     }
     if (occupancy >= Math.floor(this.limit)) {
-      const most = this.slots + Math.ceil(this.slots * SURPLUS_SHARE)
-      this.limit = Math.min(most, this.limit + 1 / this.limit)
+      const maxLimit = this.slots + Math.ceil(this.slots * SURPLUS_SHARE)
+      this.limit = Math.min(maxLimit, this.limit + 1 / this.limit)
     }
   }
 
   private decrease (occupancy: number, now: number): void {
-    if (occupancy >= this.limit * FULL_SHARE && now >= this.decreaseAt) {
-      this.limit = this.bounded(this.limit * DECREASE)
-      this.decreaseAt = now + DECREASE_EVERY_MS
+    if (occupancy >= this.limit * FULL_SHARE && now >= this.nextDecreaseAt) {
+      this.limit = this.clampLimit(this.limit * DECREASE_FACTOR)
+      this.nextDecreaseAt = now + DECREASE_INTERVAL_MS
     }
   }
 
-  observeRefusal (): void {
-    this.limit = this.bounded(this.limit * DECREASE_ON_REFUSAL)
+  recordRefusal (): void {
+    this.limit = this.clampLimit(this.limit * REFUSAL_DECREASE_FACTOR)
   }
 
-  private bounded (limit: number): number {
-    return Math.max(1, this.slots * LEAST_SHARE, limit)
+  private clampLimit (limit: number): number {
+    return Math.max(1, this.slots * MIN_SHARE, limit)
   }
 }
--- a/packages/foxtaillever-policy/src/servers/server.ts
+++ b/packages/foxtaillever-policy/src/servers/server.ts
@@ -1,6 +1,6 @@
 /**
- * One backend server as an entity: what is configured, what was observed, what
- * this instance has running there.
+ * One backend server: its configuration, what was observed of it, and what this
+ * instance has running on it.
  */
 import { AdministrativeState, hashNumber, type BackendServer } from 'foxtaillever-core'
 import { Retention } from '../placement/retention.js'
@@ -8,37 +8,37 @@
 import { ServerHealth } from './serverHealth.js'
 import { ServerLoad } from './serverLoad.js'
 
-/** A restarted engine is filled up to its full share in this time. */
+/** Time over which a restarted engine gets its full share of work. */
 const SLOW_START_MS = 10_000
 
-/** Share of its room that a cold server gets at once; enough to warm it by real work. */
+/** Share of its room that a cold server gets at first; enough to warm its cache by real work. */
 const COLD_SHARE = 0.25
 
-/** Share of the slots that long requests may take, so that a short one finds one free. */
+/** Share of the slots that long jobs may use, so that a short one finds a free slot. */
 const LONG_SHARE = 0.75
 
-/** Share of the slots kept for priority work while there is any. */
+/** Share of the slots reserved for priority work while there is any. */
 const PRIORITY_SHARE = 0.125
 
 /**
- * Room with the engine's own queue beside priority work. Without any queue there
- * slots stand empty between two requests: a quarter less is answered at twice
- * the capacity. With one of half the slots the priority work behind it comes
- * half as late again.
+ * Factor on the room for other work beside priority work, which allows a short
+ * queue in the engine. Without a queue, slots stay empty between two requests,
+ * and at twice the capacity a quarter fewer requests are answered. A queue of
+ * half the slots makes the priority work behind it half as late again.
  */
-const SHORT_QUEUE = 1.25
+const SHORT_QUEUE_FACTOR = 1.25
 
-/** Share of the slots kept from accounts that run more than twice their share. */
-const LIGHT_SHARE = 0.375
+/** Share of the slots closed to accounts that run more than twice their share. */
+const LIGHT_ACCOUNTS_SHARE = 0.375
 
-/** One request without its first token yet. */
+/** One request that has no first token yet. */
 export interface PendingAnswer {
   readonly sentAt: number
   readonly expectedMs: number
 }
 
-/** The room without the share, but never nothing. */
-function keepFree (room: number, share: number): number {
+/** The room reduced by the share, but at least 1. */
+function roomWithoutShare (room: number, share: number): number {
   return Math.max(1, room - Math.ceil(room * share))
 }
 
@@ -48,25 +48,25 @@
   readonly health = ServerHealth.create()
   readonly limit: ConcurrencyLimit
   readonly retention = Retention.create()
-  /** Requests without first token, oldest first. */
-  readonly pending = new Map<string, PendingAnswer>()
-  /** Mean occupancy of its slots. */
+  /** Requests without a first token, oldest first. */
+  readonly pendingAnswers = new Map<string, PendingAnswer>()
+  /** Mean occupancy of the slots. */
   fullness = 0
   /** Milliseconds of Unix time; 0 before the first report. */
   fullnessAt = 0
-  /** Its weight in the ranking of homes, as a factor to its slots. */
+  /** Factor on the slots that gives the weight in the ranking of homes. */
   homeFactor = 1
   incarnation = ''
-  /** No longer configured; what still runs there holds on to the entity. */
-  removed = false
-  /** The instance list's word, which lags. */
-  listedLeaving = false
-  /** The server's own word; a lagging list does not undo it. */
-  saidLeaving = false
+  /** No longer configured; requests that still run there keep using this object. */
+  isRemoved = false
+  /** The instance list has the server as leaving; the list lags. */
+  isListedLeaving = false
+  /** The server itself stated that it is leaving; a lagging list does not override this. */
+  hasStatedLeaving = false
   longRunning = 0
   suspectsRunning = 0
-  /** Requests of this pass that would rather wait for this server. */
-  held = 0
+  /** Jobs of the current dispatch pass that are held for this server. */
+  heldJobs = 0
   private coldSince = -Infinity
 
   private constructor (public configured: BackendServer) {
@@ -83,7 +83,7 @@
   }
 
   get leaving (): boolean {
-    return this.listedLeaving || this.saidLeaving
+    return this.isListedLeaving || this.hasStatedLeaving
   }
 
   get homeWeight (): number {
@@ -92,7 +92,7 @@
 
   /** Whether new work for the model may go there. */
   isReadyFor (model: string): boolean {
-    return !this.removed && !this.leaving &&
+    return !this.isRemoved && !this.leaving &&
       this.configured.state === AdministrativeState.InService &&
       this.configured.models.includes(model)
   }
@@ -102,42 +102,42 @@
     this.limit.resize(configured.slots)
   }
 
-  /** The engine came back empty, or has just been put in service. */
+  /** Called when the engine has restarted empty or was just put in service. */
   markCold (now: number): void {
     this.coldSince = now
   }
 
-  /** From the cold share up to 1. */
+  /** Share of its room that the server gets, from the cold share up to 1. */
   warmth (now: number): number {
     return Math.min(1, COLD_SHARE + (1 - COLD_SHARE) * (now - this.coldSince) / SLOW_START_MS)
   }
 
-  /** Requests it may have at once, as this instance sees it. */
+  /** Concurrent requests that the server may have, as this instance sees it. */
   room (now: number): number {
     return Math.max(1, Math.floor(this.limit.value * this.warmth(now)))
   }
 
-  /** Room for work that is not of the priority class while there is such. */
+  /** Room for work of other classes while there is priority work. */
   roomBesidePriority (now: number): number {
     const room = this.room(now)
-    return Math.max(1, room * SHORT_QUEUE - Math.ceil(room * PRIORITY_SHARE))
+    return Math.max(1, room * SHORT_QUEUE_FACTOR - Math.ceil(room * PRIORITY_SHARE))
   }
 
   /** Room for accounts that run more than twice their share. */
-  roomForHeavy (now: number): number {
-    return keepFree(this.room(now), LIGHT_SHARE)
+  roomForHeavyAccounts (now: number): number {
+    return roomWithoutShare(this.room(now), LIGHT_ACCOUNTS_SHARE)
   }
 
-  longRoom (): number {
+  roomForLongJobs (): number {
     return Math.max(1, Math.floor(this.configured.slots * LONG_SHARE))
   }
 
-  /** Time that the given tokens take to prefill here, milliseconds. */
+  /** Time that this server needs to prefill the tokens, milliseconds. */
   prefillMs (tokens: number): number {
     return tokens / Math.max(1, this.configured.prefillTokensPerSecond) * 1000
   }
 
-  /** Time of one decode step, milliseconds; a first token waits for the step that runs. */
+  /** Time of one decode step, milliseconds; a first token waits for the current step. */
   stepMs (): number {
     return 1000 / Math.max(1, this.configured.decodeTokensPerSecond)
   }
--- a/packages/foxtaillever-policy/src/servers/serverHealth.ts
+++ b/packages/foxtaillever-policy/src/servers/serverHealth.ts
@@ -1,37 +1,37 @@
 /**
- * What one backend server's answers say of it: how late they are against its
- * own expectation, and how often they fail. Whether that is slow is decided
- * against its peers, in `compareServers`.
+ * Tracks how late the answers of one backend server are compared with the
+ * expected times, and how often they fail. Whether the server is slow is decided
+ * by a comparison with its peers, in `compareServers`.
  */
 
-/** Weight of a new answer; a tenfold slowdown shows threefold after two. */
+/** Weight of a new answer; after two answers a tenfold slowdown shows as threefold. */
 const GAIN = 0.25
 
-/** Answers below this are within the noise of the network and of timers, milliseconds. */
+/** Noise of the network and of timers, milliseconds; added to both times so that it does not count as lateness. */
 const NOISE_MS = 10
 
-/** Without answers the memory of lateness halves in this time, so that the server is tried again. */
-const FORGET_MS = 10_000
+/** Without answers the recorded lateness halves in this time, so that the server gets work again. */
+const LATENESS_HALF_LIFE_MS = 10_000
 
-/** First ejection; doubled each time a probe fails. */
-const FIRST_EJECTION_MS = 1000
+/** Duration of the first ejection; doubled each time a probe fails. */
+const INITIAL_EJECTION_MS = 1000
 
 /**
- * Each instance probes for itself, and each probe of a slow server is one late
- * answer. With 6 instances a probe a second each made the p99 of the fleet, so
- * they probe as much less often as they are more, up to this many times.
+ * Each instance sends its own probes, and each probe of a slow server is one late
+ * answer. With 6 instances, one probe a second each determined the p99 of the
+ * fleet, so the interval grows with the number of instances, up to this factor.
  */
-const MOST_SPREAD = 8
+const MAX_PROBE_SPREAD = 8
 
 /** An ejected server is probed at least this often. */
-const LONGEST_EJECTION_MS = 30_000
+const MAX_EJECTION_MS = 30_000
 
-/** Failures in a row that eject; one alone may be the request's own fault. */
+/** Failures in a row that eject a server; a single failure may be caused by the request. */
 export const FAILURES_TO_EJECT = 3
 
 export enum Standing {
   Open = 'open',
-  /** Set aside until `probeAt`; then one request at a time is tried. */
+  /** Gets no work until `probeAt`; then one request at a time, as a probe. */
   Ejected = 'ejected'
 }
 
@@ -39,15 +39,15 @@
   standing = Standing.Open
   /** Time of the next probe, milliseconds of Unix time. */
   probeAt = 0
-  /** How many times slower than its peers; 1 when not. */
+  /** How many times slower than its peers; 1 when it is not slower. */
   slowness = 1
-  /** The peers' median ratio at the last comparison. */
-  peers = 1
+  /** Median lateness of the peers at the last comparison, as a ratio. */
+  peerLatenessRatio = 1
   failuresInRow = 0
-  answers = 0
+  answerCount = 0
   private lateness = 0
   private latenessAt = 0
-  private ejectionMs = FIRST_EJECTION_MS
+  private ejectionMs = INITIAL_EJECTION_MS
 
   private constructor () {}
 
@@ -55,53 +55,53 @@
     return new ServerHealth()
   }
 
-  /** Takes one answer's time, first token or decode, against what was expected of it. */
-  observe (observedMs: number, expectedMs: number, now: number): void {
+  /** Records the observed and the expected time of one answer, for its first token or its decode. */
+  recordAnswer (observedMs: number, expectedMs: number, now: number): void {
     const ratio = (observedMs + NOISE_MS) / (expectedMs + NOISE_MS)
-    const before = this.latenessNow(now)
+    const before = this.decayedLateness(now)
     this.lateness = before + GAIN * (Math.log(ratio) - before)
     this.latenessAt = now
-    this.answers += 1
+    this.answerCount += 1
     this.failuresInRow = 0
   }
 
-  observeFailure (): void {
+  recordFailure (): void {
     this.failuresInRow += 1
   }
 
-  /** Observed against expected time, as a factor; 1 when on time. */
-  ratio (now: number): number {
-    return Math.exp(this.latenessNow(now))
+  /** Observed divided by expected time; 1 when on time. */
+  latenessRatio (now: number): number {
+    return Math.exp(this.decayedLateness(now))
   }
 
-  /** @param instances entry instances, each of which will probe. */
+  /** @param instances entry instances, each of which sends its own probes. */
   eject (instances: number, now: number): void {
     this.standing = Standing.Ejected
-    this.probeAt = now + Math.min(LONGEST_EJECTION_MS, this.ejectionMs * Math.min(MOST_SPREAD, instances))
-    this.ejectionMs = Math.min(LONGEST_EJECTION_MS, this.ejectionMs * 2)
+    this.probeAt = now + Math.min(MAX_EJECTION_MS, this.ejectionMs * Math.min(MAX_PROBE_SPREAD, instances))
+    this.ejectionMs = Math.min(MAX_EJECTION_MS, this.ejectionMs * 2)
   }
 
-  /** A probe goes out; the next one is due an ejection later whatever becomes of it. */
-  probe (now: number): void {
+  /** Records that a probe was sent; the next one is due after another ejection time, whatever the result. */
+  recordProbe (now: number): void {
     this.probeAt = now + this.ejectionMs
   }
 
-  /** The probe was answered in time. */
+  /** Ends the ejection after a probe that was answered in time. */
   restore (): void {
     this.standing = Standing.Open
     this.failuresInRow = 0
     this.lateness = 0
     this.slowness = 1
-    this.answers = 0
+    this.answerCount = 0
   }
 
-  /** The engine restarted: nothing of the old one holds. */
+  /** Clears all state after the engine restarted. */
   reset (): void {
     this.restore()
-    this.ejectionMs = FIRST_EJECTION_MS
+    this.ejectionMs = INITIAL_EJECTION_MS
   }
 
-  private latenessNow (now: number): number {
-    return this.lateness * 2 ** -(Math.max(0, now - this.latenessAt) / FORGET_MS)
+  private decayedLateness (now: number): number {
+    return this.lateness * 2 ** -(Math.max(0, now - this.latenessAt) / LATENESS_HALF_LIFE_MS)
   }
 }
--- a/packages/foxtaillever-policy/src/servers/serverLoad.ts
+++ b/packages/foxtaillever-policy/src/servers/serverLoad.ts
@@ -1,48 +1,49 @@
 /**
- * How full a backend server is now, worked out from a report that is late.
+ * Estimates how full a backend server is now, from a delayed load report.
  *
- * Without this, every instance that reads "idle" in the same old report sends
- * there, and the server is flooded until the next one. Callers see the time to
- * first token swing in the rhythm of the reports. So the report only says what
- * the other instances have there; this instance's own part is always counted
+ * Without this, every instance that reads "idle" in the same old report sends to
+ * that server and overloads it until the next report. Callers see the time to
+ * first token oscillate with the interval of the reports. So the report is used
+ * only for the part of the other instances; this instance counts its own part
  * from its own sends, including those made since the report.
  */
 import type { LoadReport } from 'foxtaillever-core'
 import { MovingMean } from '../collections/movingMean.js'
 
-/** A report older than this says nothing; engines report about once a second. */
+/** A report older than this is ignored; engines report about once a second. */
 const REPORT_VALID_MS = 5000
 
-/** Own past is remembered in steps of this, finer than clocks of instances agree. */
+/** Step of the history of the own load, finer than the difference between the clocks of instances. */
 const HISTORY_STEP_MS = 20
 
-/** Steps remembered; at least 1.3 s, more than a report is late. */
+/** Steps kept, at least 1.3 s: longer than the delay of a report. */
 const HISTORY_LENGTH = 64
 
 /**
- * Other instances whose unseen sends are guessed from this one's own. Callers
- * spread evenly, and a prefix that has just become hot has the same home for
- * all; but a guess for hundreds from the sends of one would be chance.
+ * Maximum number of other instances whose sends since the report are estimated
+ * from this instance's own. Callers are spread evenly, and a prefix that has
+ * just become hot has the same home for all instances; but the sends of one
+ * instance are too few to estimate those of hundreds.
  */
-const MOST_ALIKE = 4
+const MAX_SIMILAR_INSTANCES = 4
 
-/** Cached share of a prompt before one was seen. */
+/** Assumed cached share of a prompt, before the first one was observed. */
 const CACHED_PRIOR = 0.5
 const CACHED_GAIN = 0.1
 
 interface OwnLoad {
   readonly at: number
   outstanding: number
-  /** As the engine counts them: whole prompts until they start, then what is left to prefill. */
+  /** Tokens as the engine counts them: whole prompts until they start, then the tokens left to prefill. */
   reportable: number
-  /** Uncached tokens whose first token has not come. */
+  /** Uncached tokens of requests without a first token. */
   pending: number
 }
 
 export class ServerLoad {
-  /** Requests sent by this instance and not ended. */
+  /** Requests sent by this instance that have not ended. */
   outstanding = 0
-  /** Uncached prompt tokens sent by this instance whose first token has not come. */
+  /** Uncached prompt tokens of this instance's requests without a first token. */
   pendingTokens = 0
   /** Entry instances, this one included. */
   instances = 1
@@ -51,7 +52,7 @@
   private othersOutstanding = 0
   private othersTokens = 0
   /** Own load when the last report was made. */
-  private reported: OwnLoad = { at: 0, outstanding: 0, reportable: 0, pending: 0 }
+  private ownAtReport: OwnLoad = { at: 0, outstanding: 0, reportable: 0, pending: 0 }
   private readonly cachedShare = MovingMean.create(CACHED_PRIOR, CACHED_GAIN)
   private cacheTokensUsed = 0
   private validUntil = 0
@@ -62,72 +63,73 @@
     return new ServerLoad()
   }
 
-  add (uncachedTokens: number, promptTokens: number, now: number): void {
+  addRequest (uncachedTokens: number, promptTokens: number, now: number): void {
     this.outstanding += 1
     this.pendingTokens += uncachedTokens
     this.reportable += promptTokens
-    this.remember(now)
+    this.recordHistory(now)
   }
 
-  /** The engine has begun, or ended, a prefill; the counts fall or rise to what it said. */
-  adjust (pendingChange: number, reportableChange: number, now: number): void {
+  /** Corrects the counts when the engine has begun or ended a prefill. */
+  adjustTokens (pendingChange: number, reportableChange: number, now: number): void {
     this.pendingTokens = Math.max(0, this.pendingTokens + pendingChange)
     this.reportable = Math.max(0, this.reportable + reportableChange)
-    this.remember(now)
+    this.recordHistory(now)
   }
 
-  remove (now: number): void {
+  removeRequest (now: number): void {
     this.outstanding = Math.max(0, this.outstanding - 1)
-    this.remember(now)
+    this.recordHistory(now)
   }
 
-  observe (report: LoadReport, now: number): void {
-    const own = this.ownAt(Math.min(report.madeAt, now))
-    this.reported = own
+  applyReport (report: LoadReport, now: number): void {
+    const own = this.ownLoadAt(Math.min(report.madeAt, now))
+    this.ownAtReport = own
     this.othersOutstanding = Math.max(0, report.running + report.waiting - own.outstanding)
     this.othersTokens = Math.max(0, report.waitingTokens - own.reportable)
     this.cacheTokensUsed = report.cacheTokensUsed
     this.validUntil = now + REPORT_VALID_MS
   }
 
-  /** Forgets what others had there; a restarted engine has nothing. */
-  reset (): void {
+  /** Clears the load of the other instances; a restarted engine is empty. */
+  clearOtherInstances (): void {
     this.othersOutstanding = 0
     this.othersTokens = 0
     this.cacheTokensUsed = 0
   }
 
-  /** Requests there now, of all instances. */
+  /** Requests at the server now, of all instances. */
   occupancy (now: number): number {
-    return this.outstanding + (now < this.validUntil ? this.othersOutstanding + this.unseen(this.outstanding - this.reported.outstanding) : 0)
+    return this.outstanding + (now < this.validUntil ? this.othersOutstanding + this.estimateUnseen(this.outstanding - this.ownAtReport.outstanding) : 0)
   }
 
   /**
-   * What others have sent since the report: as much as this one. A prefix that
-   * becomes hot makes all instances send to its home within one report's time;
-   * with its own sends alone each sees free slots there until the home is full.
+   * Estimates what the other instances have sent since the report: as much as
+   * this one, each. When a prefix becomes hot, all instances send to its home
+   * before the next report; counting only its own sends, each instance would see
+   * free slots until the home is full.
    */
-  private unseen (own: number): number {
-    return Math.max(0, own) * Math.min(MOST_ALIKE, this.instances - 1)
+  private estimateUnseen (own: number): number {
+    return Math.max(0, own) * Math.min(MAX_SIMILAR_INSTANCES, this.instances - 1)
   }
 
-  /** Uncached prompt tokens that a new request would stand behind. */
+  /** Uncached prompt tokens queued before a new request. */
   queuedTokens (now: number): number {
-    // The engine counts whole prompts, of which it will find a part in its cache.
+    // The engine counts whole prompts, but will find a part of them in its cache.
     const others = this.othersTokens * (1 - this.cachedShare.value)
-    return this.pendingTokens + (now < this.validUntil ? others + this.unseen(this.pendingTokens - this.reported.pending) : 0)
+    return this.pendingTokens + (now < this.validUntil ? others + this.estimateUnseen(this.pendingTokens - this.ownAtReport.pending) : 0)
   }
 
-  observeCached (share: number): void {
+  recordCachedShare (share: number): void {
     this.cachedShare.add(share)
   }
 
-  /** Used share of a cache of that size, 0 to 1. */
+  /** Used share of a cache with that many tokens, 0 to 1. */
   cacheFullness (cacheTokens: number): number {
     return Math.min(1, this.cacheTokensUsed / Math.max(1, cacheTokens))
   }
 
-  private remember (now: number): void {
+  private recordHistory (now: number): void {
     const last = this.history.at(-1)
     if (last && now - last.at < HISTORY_STEP_MS) {
       last.outstanding = this.outstanding
@@ -141,7 +143,7 @@
     }
   }
 
-  private ownAt (time: number): OwnLoad {
+  private ownLoadAt (time: number): OwnLoad {
     for (let index = this.history.length - 1; index >= 0; index -= 1) {
       const entry = this.history[index] as OwnLoad
       if (entry.at <= time) {
