--- a/packages/foxtaillever-policy/src/__tests__/bounds.test.ts
+++ b/packages/foxtaillever-policy/src/__tests__/bounds.test.ts
@@ -26,9 +26,9 @@
 }
 
 function serveNext (queue: FairQueue): WaitingJob | undefined {
-  const entry = queue.next()
+  const entry = queue.takeNext()
   if (entry) {
-    queue.serve(entry)
+    queue.recordSent(entry)
   }
   queue.endPass()
   return entry
@@ -63,7 +63,7 @@
     it('gives the lower classes the floor while all wait, and hardly more', t => {
       fc.assert(fc.property(fc.double({ min: 0.05, max: 0.4, noNaN: true }), fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 300, maxLength: 300 }), (floor, costs) => {
         const queue = FairQueue.create()
-        queue.setFloor(floor)
+        queue.setFloorShare(floor)
         classes.forEach(priority => costs.forEach((cost, job) => queue.add(createEntry(`${priority}-${job}`, 'account', priority, cost, 1))))
         const served = new Map(classes.map(priority => [priority, 0]))
         let total = 0
@@ -81,7 +81,7 @@
     it('starves nobody: every job taken in is served', t => {
       fc.assert(fc.property(fc.array(fc.tuple(fc.constantFrom(...classes), fc.integer({ min: 0, max: 4 }), fc.integer({ min: 1, max: 30 })), { maxLength: 80 }), jobs => {
         const queue = FairQueue.create()
-        queue.setFloor(0.1)
+        queue.setFloorShare(0.1)
         jobs.forEach(([priority, account, cost], index) => queue.add(createEntry(String(index), `account-${account}`, priority, cost, 1)))
         const served = new Set(jobs.map(() => serveNext(queue)?.job.id))
         return served.size === jobs.length && queue.size === 0
--- a/packages/foxtaillever-policy/src/__tests__/serviceGate.test.ts
+++ b/packages/foxtaillever-policy/src/__tests__/serviceLimiter.test.ts
@@ -1,7 +1,7 @@
 import { AdministrativeState, Failure, FailureCode, ServerKind, type Configuration } from 'foxtaillever-core'
 import { describe, it } from 'foxtaillever-testing'
 import { createTestConfiguration } from '../__fixtures__/callers.js'
-import { ServiceGate } from '../services/serviceGate.js'
+import { ServiceLimiter } from '../services/serviceLimiter.js'
 
 const NOW = 1_000_000
 
@@ -18,12 +18,12 @@
   retryAt: number | undefined
 }
 
-function createGate (): { gate: ServiceGate, call: (id: string, service: string, deadline?: number) => Caller } {
-  const gate = ServiceGate.create()
+function createGate (): { gate: ServiceLimiter, call: (id: string, service: string, deadline?: number) => Caller } {
+  const gate = ServiceLimiter.create()
   gate.configure(createServiceConfiguration(), NOW)
   const call = (id: string, service: string, deadline = NOW + 1000): Caller => {
     const caller: Caller = { isServed: false, code: undefined, retryAt: undefined }
-    gate.acquire({ id, service, deadline }, NOW, result => result.caseOf({
+    gate.acquireSlot({ id, service, deadline }, NOW, result => result.caseOf({
       Left: failure => { Object.assign(caller, { code: failure.code, retryAt: failure.retryAt }) },
       Right: () => { caller.isServed = true }
     }))
@@ -47,7 +47,7 @@
     const { gate, call } = createGate()
     const calls = Array.from({ length: 6 }, (_, index) => call(String(index), 'lookups'))
     t.deepEqual(calls.map(({ isServed }) => isServed), [true, true, true, true, false, false])
-    gate.release('0', NOW + 5)
+    gate.releaseSlot('0', NOW + 5)
     t.true(calls[4]?.isServed)
     t.false(calls[5]?.isServed)
   })
--- a/packages/foxtaillever-policy/src/admission/costEstimate.ts
+++ b/packages/foxtaillever-policy/src/admission/costEstimator.ts
@@ -1,7 +1,7 @@
 /**
- * What a job will cost, from what its client account's earlier jobs cost.
- * Counting requests instead would let an account with long judgments take many
- * times its share, and a queue of "ten requests" mean anything.
+ * Estimates the cost of a job from the earlier jobs of its client account.
+ * Counting requests instead would let an account with long judgments use many
+ * times its share, and the length of a queue would say little about the wait.
  */
 import type { StreamEnd } from 'foxtaillever-core'
 import { MovingMean } from '../collections/movingMean.js'
@@ -9,16 +9,16 @@
 import type { Job } from '../job.js'
 
 /** Covers 1,700 accounts with some of their models. */
-const ACCOUNT_BOUND = 4096
+const MAX_USAGE_ENTRIES = 4096
 
-/** About the last ten answers count. */
-const GAIN = 0.1
+/** The means cover about the last ten answers. */
+const USAGE_GAIN = 0.1
 
-/** Before the first answer: nothing cached, half of the allowed tokens generated. */
+/** Assumed before the first answer: nothing cached, half of the allowed tokens generated. */
 const CACHED_PRIOR = 0
 const COMPLETION_PRIOR = 0.5
 
-/** Speed assumed when no server is known yet; only the order of size matters. */
+/** Assumed speed while no server is known; only the order of magnitude matters. */
 const DEFAULT_SPEED: Speed = { prefillTokensPerSecond: 5000, decodeTokensPerSecond: 50 }
 
 export interface Speed {
@@ -35,22 +35,22 @@
   readonly slotMs: number
 }
 
-interface Habit {
+interface UsageMeans {
   readonly cached: MovingMean
   readonly completion: MovingMean
 }
 
-export class CostEstimate {
-  private readonly habits = RecentMap.create<Habit>(ACCOUNT_BOUND)
+export class CostEstimator {
+  private readonly usage = RecentMap.create<UsageMeans>(MAX_USAGE_ENTRIES)
 
   private constructor (private speed: Speed) {}
 
-  static create (): CostEstimate {
-    return new CostEstimate(DEFAULT_SPEED)
+  static create (): CostEstimator {
+    return new CostEstimator(DEFAULT_SPEED)
   }
 
-  /** Takes the mean speed of the servers in service. */
-  setSpeed (speeds: readonly Speed[]): void {
+  /** Sets the speed to the mean of the servers in service. */
+  setMeanSpeed (speeds: readonly Speed[]): void {
     if (speeds.length > 0) {
       const mean = (of: (speed: Speed) => number): number => Math.max(1, speeds.reduce((sum, speed) => sum + of(speed), 0) / speeds.length)
       this.speed = {
@@ -60,24 +60,24 @@
     }
   }
 
-  estimate (job: Job): JobCost {
-    const habit = this.habits.peek(this.keyOf(job))
-    const cachedShare = habit?.cached.value ?? CACHED_PRIOR
-    const completionShare = habit?.completion.value ?? COMPLETION_PRIOR
+  estimateCost (job: Job): JobCost {
+    const means = this.usage.peek(this.keyOf(job))
+    const cachedShare = means?.cached.value ?? CACHED_PRIOR
+    const completionShare = means?.completion.value ?? COMPLETION_PRIOR
     return this.costOf(job.promptTokens * (1 - cachedShare), job.maxTokens * completionShare)
   }
 
-  /** What the job did cost. */
-  measure (end: StreamEnd): JobCost {
+  /** The actual cost of a completed job. */
+  costOfAnswer (end: StreamEnd): JobCost {
     return this.costOf(Math.max(0, end.promptTokens - end.cachedTokens), end.completionTokens)
   }
 
-  observe (job: Job, end: StreamEnd): void {
+  recordAnswer (job: Job, end: StreamEnd): void {
     const key = this.keyOf(job)
-    const habit = this.habits.use(key) ?? { cached: MovingMean.create(CACHED_PRIOR, GAIN), completion: MovingMean.create(COMPLETION_PRIOR, GAIN) }
-    habit.cached.add(end.cachedTokens / Math.max(1, end.promptTokens))
-    habit.completion.add(Math.min(1, end.completionTokens / Math.max(1, job.maxTokens)))
-    this.habits.set(key, habit)
+    const means = this.usage.use(key) ?? { cached: MovingMean.create(CACHED_PRIOR, USAGE_GAIN), completion: MovingMean.create(COMPLETION_PRIOR, USAGE_GAIN) }
+    means.cached.add(end.cachedTokens / Math.max(1, end.promptTokens))
+    means.completion.add(Math.min(1, end.completionTokens / Math.max(1, job.maxTokens)))
+    this.usage.set(key, means)
   }
 
   private keyOf (job: Job): string {
--- a/packages/foxtaillever-policy/src/admission/drainRate.ts
+++ b/packages/foxtaillever-policy/src/admission/drainRate.ts
@@ -1,21 +1,22 @@
 /**
- * How much waiting work this instance gets served a millisecond. Configured
- * slots say what the fleet could do for everybody; only what was drained while
- * jobs waited says what this instance gets of it.
+ * Measures how much cost of waiting jobs this instance gets served a
+ * millisecond. The configured slots give the capacity of the fleet for all
+ * instances; the share of this instance shows only in the cost that it sent
+ * while jobs waited.
  */
 import { MovingMean } from '../collections/movingMean.js'
 
 const WINDOW_MS = 500
 
-/** Three windows or so count. */
+/** The mean covers about three windows. */
 const GAIN = 0.3
 
-/** An outage drains nothing; its end must not find every caller refused for hours. */
-const LEAST_SHARE = 0.02
+/** Minimum rate as a share of the prior: an outage drains nothing, but callers must not be refused for hours after it. */
+const MIN_SHARE = 0.02
 
 export class DrainRate {
   private measured: MovingMean | undefined
-  private served = 0
+  private sentCost = 0
   private windowEnd = 0
   private waitedThroughout = false
 
@@ -25,18 +26,18 @@
     return new DrainRate(1)
   }
 
-  /** @param rate cost a millisecond that is assumed until one is measured. */
+  /** @param rate cost a millisecond, assumed until a rate is measured. */
   setPrior (rate: number): void {
     this.prior = Math.max(Number.EPSILON, rate)
   }
 
   /** Cost served a millisecond while jobs wait. */
   get value (): number {
-    return this.measured ? Math.max(this.prior * LEAST_SHARE, this.measured.value) : this.prior
+    return this.measured ? Math.max(this.prior * MIN_SHARE, this.measured.value) : this.prior
   }
 
-  serve (cost: number): void {
-    this.served += cost
+  recordSent (cost: number): void {
+    this.sentCost += cost
   }
 
   tick (jobsWait: boolean, now: number): void {
@@ -45,14 +46,14 @@
       return
     }
     if (this.waitedThroughout) {
-      const rate = this.served / (WINDOW_MS + now - this.windowEnd)
+      const rate = this.sentCost / (WINDOW_MS + now - this.windowEnd)
       this.measured ??= MovingMean.create(rate, GAIN)
       this.measured.add(rate)
     } else if (!jobsWait) {
-      // The queue ran empty: the next one may be served at another rate.
+      // The queue is empty; later jobs may be served at another rate.
       this.measured = undefined
     }
-    this.served = 0
+    this.sentCost = 0
     this.windowEnd = now + WINDOW_MS
     this.waitedThroughout = jobsWait
   }
--- a/packages/foxtaillever-policy/src/admission/intake.ts
+++ b/packages/foxtaillever-policy/src/admission/intake.ts
@@ -1,6 +1,6 @@
 /**
- * The way in: every rule that a job has to pass before it waits, in the order
- * in which they are asked, and what the account is charged for it.
+ * Accepts or refuses new jobs: checks the rules that a job must pass before it
+ * waits, in order, and charges the account for it.
  */
 import { Failure, FailureCode, presetOf, type ClientAccount, type Configuration, type Preset, type StreamEnd } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
@@ -9,12 +9,12 @@
 import { AccountLimits } from '../limits/accountLimits.js'
 import { DemandShare } from '../limits/shareOfLimit.js'
 import type { WaitingJob } from '../order/waitingJob.js'
-import type { WaitingRoom } from '../order/waitingRoom.js'
+import type { WaitingJobs } from '../order/waitingJobs.js'
 import type { ServerTable } from '../servers/serverTable.js'
 import { Standing } from '../servers/serverHealth.js'
 import { Suspicion, type SuspectTable } from '../suspects/suspectTable.js'
-import { admit, AdmissionRule } from './admission.js'
-import { CostEstimate, type JobCost } from './costEstimate.js'
+import { checkAdmission, AdmissionRule } from './checkAdmission.js'
+import { CostEstimator, type JobCost } from './costEstimator.js'
 import { DrainRate } from './drainRate.js'
 
 /** Names of the rules that refuse, besides those of admission and limits. */
@@ -32,15 +32,15 @@
 
 export interface IntakeOptions {
   readonly fleet: ServerTable
-  readonly room: WaitingRoom
+  readonly waitingJobs: WaitingJobs
   readonly attempts: AttemptTable
   readonly suspects: SuspectTable
-  /** Gives up a waiting job for one of a higher class. */
+  /** Refuses a waiting job to make room for one of a higher class. */
   readonly displace: (entry: WaitingJob, refusal: RuledFailure) => void
 }
 
 export class Intake {
-  readonly costs = CostEstimate.create()
+  readonly costs = CostEstimator.create()
   readonly drain = DrainRate.create()
   readonly share = DemandShare.create()
   private readonly limits = AccountLimits.create(this.share)
@@ -56,12 +56,12 @@
   configure (configuration: Configuration): void {
     this.accounts = configuration.accounts
     this.preset = presetOf(configuration)
-    this.costs.setSpeed(this.options.fleet.list().map(({ configured }) => configured))
+    this.costs.setMeanSpeed(this.options.fleet.list().map(({ configured }) => configured))
   }
 
-  /** The job as it will wait, or why it may not. */
-  take (job: Job, now: number): Either<RuledFailure, WaitingJob> {
-    const cost = this.costs.estimate(job)
+  /** Returns the job as it will wait, or the refusal. */
+  acceptJob (job: Job, now: number): Either<RuledFailure, WaitingJob> {
+    const cost = this.costs.estimateCost(job)
     const tokens = cost.uncachedTokens + cost.completionTokens
     const account = this.accounts[job.account]
     const weight = Math.max(Number.EPSILON, account?.weight ?? 1)
@@ -72,24 +72,24 @@
       return Left(refusal)
     }
     this.limits.take(job.account, tokens)
-    return Right(createEntry(job, cost, weight, now))
+    return Right(createWaitingJob(job, cost, weight, now))
   }
 
-  /** Takes what a job did cost, so that the next estimate is better. */
-  observeEnd (entry: WaitingJob, end: StreamEnd): void {
-    this.costs.observe(entry.job, end)
-    const actual = this.costs.measure(end)
-    this.options.room.queue.classOf(entry.job.priority).correct(entry.job.account, actual.slotMs - entry.cost, entry.weight)
-    this.settle(entry, actual.uncachedTokens + actual.completionTokens)
+  /** Records the actual cost of a job, which improves the next estimate. */
+  recordEnd (entry: WaitingJob, end: StreamEnd): void {
+    this.costs.recordAnswer(entry.job, end)
+    const actual = this.costs.costOfAnswer(end)
+    this.options.waitingJobs.queue.classOf(entry.job.priority).correctCharge(entry.job.account, actual.slotMs - entry.cost, entry.weight)
+    this.refundUnusedTokens(entry, actual.uncachedTokens + actual.completionTokens)
   }
 
-  /** The job is over; the account gets back what it was charged beyond the tokens used. */
-  settle (entry: WaitingJob, usedTokens: number): void {
+  /** Refunds the account for charged tokens that the ended job did not use. */
+  refundUnusedTokens (entry: WaitingJob, usedTokens: number): void {
     this.limits.settle(entry.job.account, entry.tokens, usedTokens)
   }
 
-  /** Refusal of a job that is taken for the cause of crashes. */
-  quarantineOf (job: Job): RuledFailure {
+  /** Refusal of a job that is suspected of crashing servers. */
+  createQuarantineRefusal (job: Job): RuledFailure {
     const until = this.options.suspects.quarantinedUntil(job.fingerprint)
     return { rule: IntakeRule.Quarantine, failure: Failure.notRun(FailureCode.Quarantined, 'This request was in flight when two backend servers crashed.', until) }
   }
@@ -101,7 +101,7 @@
   }
 
   private checkSuspect (job: Job, now: number): RuledFailure | undefined {
-    return this.options.suspects.suspicionOf(job.fingerprint, now) === Suspicion.Quarantined ? this.quarantineOf(job) : undefined
+    return this.options.suspects.suspicionOf(job.fingerprint, now) === Suspicion.Quarantined ? this.createQuarantineRefusal(job) : undefined
   }
 
   private checkLimits (account: ClientAccount | undefined, now: number): RuledFailure | undefined {
@@ -109,22 +109,22 @@
   }
 
   private checkQueue (job: Job, cost: JobCost, weight: number, now: number): RuledFailure | undefined {
-    const { room: { queue }, displace } = this.options
+    const { waitingJobs: { queue }, displace } = this.options
     const { queueLimit = 0, floorShare = 0 } = this.preset ?? {}
     const drainRate = this.drain.value
-    const rejection = admit({ job, cost, weight, queue, queueLimit, floorShare, drainRate, freeSlots: this.freeSlots(job, now), now })
-    const displaced = rejection?.rule === AdmissionRule.QueueFull ? queue.displacedBy(job.priority) : undefined
+    const rejection = checkAdmission({ job, cost, weight, queue, queueLimit, floorShare, drainRate, freeSlots: this.freeSlots(job, now), now })
+    const displaced = rejection?.rule === AdmissionRule.QueueFull ? queue.findDisplaceable(job.priority) : undefined
     if (!displaced) {
       return rejection
     }
     const retryAt = Math.ceil(now + displaced.cost / drainRate)
-    displace(displaced, { rule: IntakeRule.Displaced, failure: Failure.notRun(FailureCode.Overloaded, 'Requests of a higher class took the place.', retryAt) })
+    displace(displaced, { rule: IntakeRule.Displaced, failure: Failure.notRun(FailureCode.Overloaded, 'Displaced by a request of a higher priority class.', retryAt) })
     return undefined
   }
 
-  /** Requests that the servers of the model could take at once; counted as far as it matters. */
+  /** Requests that the servers of the model could take now; counts only up to one more than wait. */
   private freeSlots ({ model }: Job, now: number): number {
-    const enough = this.options.room.queue.size + 1
+    const enough = this.options.waitingJobs.queue.size + 1
     let free = 0
     for (const server of this.options.fleet.readyFor(model)) {
       if (server.health.standing === Standing.Open) {
@@ -138,16 +138,16 @@
   }
 }
 
-function createEntry (job: Job, cost: JobCost, weight: number, now: number): WaitingJob {
-  // Estimates may be twice too long; a job is given up only when half of it cannot be done.
-  const leastMs = Math.min(cost.decodeMs / 2, (job.deadline - now) / 2)
+function createWaitingJob (job: Job, cost: JobCost, weight: number, now: number): WaitingJob {
+  // Estimates may be twice too long, so a job expires only when not even half the estimated decode fits.
+  const minRunMs = Math.min(cost.decodeMs / 2, (job.deadline - now) / 2)
   return {
     job,
     weight,
     cost: cost.slotMs,
     decodeMs: cost.decodeMs,
     tokens: cost.uncachedTokens + cost.completionTokens,
-    latestStart: job.deadline - leastMs,
+    latestStart: job.deadline - minRunMs,
     failedAt: [],
     attempts: 0,
     notBefore: now,
--- a/packages/foxtaillever-policy/src/attempts/attempt.ts
+++ b/packages/foxtaillever-policy/src/attempts/attempt.ts
@@ -1,4 +1,4 @@
-/** One job at one backend server. */
+/** One attempt to run a job at one backend server. */
 import type { WaitingJob } from '../order/waitingJob.js'
 import type { Placement } from '../placement/placer.js'
 import { Standing } from '../servers/serverHealth.js'
@@ -21,15 +21,15 @@
   readonly sentAt: number
   readonly isLong: boolean
   readonly isSuspect: boolean
-  /** The server is set aside, and this tells whether it has recovered. */
+  /** The server is ejected, and this attempt shows whether it has recovered. */
   readonly isProbe: boolean
-  /** Of the engine that runs it, or that was there when it was sent. */
+  /** Incarnation of the engine that runs the attempt; until it has begun, the one known when it was sent. */
   incarnation: string
   /** Expected time to first token, milliseconds; corrected once the engine has begun. */
   expectedMs: number
-  /** What it adds to the server's queue, tokens. */
+  /** Uncached prompt tokens that the attempt adds to the server's queue. */
   pendingTokens: number
-  /** The same as the engine reports it. */
+  /** Tokens that the attempt adds to the queue as the engine reports it. */
   reportableTokens: number
   /** When the engine gave it a slot, milliseconds of Unix time; 0 before. */
   startedAt = 0
--- a/packages/foxtaillever-policy/src/attempts/attemptTable.ts
+++ b/packages/foxtaillever-policy/src/attempts/attemptTable.ts
@@ -1,6 +1,6 @@
 /**
- * What runs at the backend servers, and what each step of an answer says of the
- * server that gives it.
+ * The attempts that run at the backend servers. Each step of an answer updates
+ * the load and the health of its server.
  */
 import { FailureCode, type Failure, type StreamEnd, type StreamStart } from 'foxtaillever-core'
 import { MovingMean } from '../collections/movingMean.js'
@@ -12,28 +12,28 @@
 import type { Server } from '../servers/server.js'
 import type { Attempt } from './attempt.js'
 
-/** Mean time of a request in a server's slot before one has ended, milliseconds. */
-const FIRST_SERVICE_MS = 1000
+/** Assumed mean time of a request in a server's slot, before the first one has ended, milliseconds. */
+const INITIAL_SERVICE_MS = 1000
 
-/** About the last fifty requests count. */
+/** The mean covers about the last fifty requests. */
 const SERVICE_GAIN = 0.02
 
-/** Shorter answers tell nothing of the decode speed. */
-const LEAST_DECODED = 8
+/** Answers with fewer tokens are too short to measure the decode speed. */
+const MIN_DECODED_TOKENS = 8
 
-/** A probe this many times later than the peers' answers has failed. */
-const PROBE_LATE = 2
+/** A probe has failed when it is this many times later than the peers' answers. */
+const PROBE_LATE_RATIO = 2
 
-/** Failures that are the server's, not the request's. */
+/** Failures caused by the server, not by the request. */
 const serverFaults = new Set([
   FailureCode.ConnectionRefused, FailureCode.ConnectionLost, FailureCode.StreamBroken, FailureCode.BackendServerError
 ])
 
 export class AttemptTable {
   private readonly attempts = new Map<string, Attempt>()
-  /** Who runs how much, for the order of those that wait. */
+  /** Running jobs by client account; the dispatcher uses them to limit heavy accounts. */
   readonly shares = RunningShares.create()
-  private readonly service = MovingMean.create(FIRST_SERVICE_MS, SERVICE_GAIN)
+  private readonly meanService = MovingMean.create(INITIAL_SERVICE_MS, SERVICE_GAIN)
 
   private constructor (private readonly fleet: ServerTable, private readonly placer: Placer) {}
 
@@ -47,7 +47,7 @@
 
   /** Mean time of a request in a server's slot, milliseconds. */
   get serviceMs (): number {
-    return this.service.value
+    return this.meanService.value
   }
 
   get (jobId: string): Attempt | undefined {
@@ -67,22 +67,22 @@
     }
   }
 
-  started (attempt: Attempt, start: StreamStart, now: number): void {
+  recordStart (attempt: Attempt, start: StreamStart, now: number): void {
     const { server, placement } = attempt
     attempt.incarnation = start.incarnation
     attempt.startedAt = now
     this.fleet.applyIncarnation(server, start.incarnation, now)
     const uncached = Math.max(0, start.promptTokens - start.cachedTokens)
     attempt.expectedMs += server.prefillMs(uncached - (attempt.entry.job.promptTokens - placement.cachedTokens))
-    this.setPending(attempt, uncached, uncached, now)
+    this.setPendingTokens(attempt, uncached, uncached, now)
     this.placer.recordCacheHits(placement, start.cachedTokens, now)
   }
 
-  firstToken (attempt: Attempt, now: number): void {
+  recordFirstToken (attempt: Attempt, now: number): void {
     const { server, placement, entry } = attempt
     attempt.firstTokenAt = now
     server.pendingAnswers.delete(entry.job.id)
-    this.setPending(attempt, 0, 0, now)
+    this.setPendingTokens(attempt, 0, 0, now)
     this.placer.endPrefill(entry.job.id, placement)
     this.placer.recordPrefilled(placement.levels, server, now)
     const observedMs = now - attempt.sentAt
@@ -90,21 +90,21 @@
     const ratio = (observedMs + server.stepMs()) / (attempt.expectedMs + server.stepMs()) / server.health.peerLatenessRatio
     server.limit.recordFirstToken(ratio, server.load.occupancy(now), now)
     if (attempt.isProbe && server.health.standing === Standing.Ejected) {
-      this.judgeProbe(server, ratio, now)
+      this.applyProbeResult(server, ratio, now)
     }
   }
 
-  finished (attempt: Attempt, end: StreamEnd, now: number): void {
+  recordFinish (attempt: Attempt, end: StreamEnd, now: number): void {
     const { server } = attempt
-    this.service.add(now - (attempt.startedAt || attempt.sentAt))
-    if (attempt.firstTokenAt > 0 && end.completionTokens >= LEAST_DECODED) {
+    this.meanService.add(now - (attempt.startedAt || attempt.sentAt))
+    if (attempt.firstTokenAt > 0 && end.completionTokens >= MIN_DECODED_TOKENS) {
       server.health.recordAnswer(now - attempt.firstTokenAt, end.completionTokens * server.stepMs(), now)
     }
     this.remove(attempt, now)
   }
 
-  /** @param ejectedShare most servers of the model set aside at once, 0 to 1. */
-  failed (attempt: Attempt, failure: Failure, ejectedShare: number, now: number): void {
+  /** @param ejectedShare maximum share of the peers ejected at once, 0 to 1. */
+  recordFailure (attempt: Attempt, failure: Failure, ejectedShare: number, now: number): void {
     const { server } = attempt
     this.remove(attempt, now)
     if (failure.code === FailureCode.Leaving) {
@@ -114,31 +114,31 @@
       server.limit.recordRefusal()
     }
     if (serverFaults.has(failure.code)) {
-      this.observeFault(attempt, ejectedShare, now)
+      this.recordServerFault(attempt, ejectedShare, now)
     }
   }
 
-  /** Takes the attempt off its server's counts. */
+  /** Removes the attempt from the table and from its server's counts. */
   remove (attempt: Attempt, now: number): void {
     const { server, entry } = attempt
     this.attempts.delete(entry.job.id)
     this.shares.remove(entry)
     server.pendingAnswers.delete(entry.job.id)
     this.placer.endPrefill(entry.job.id, attempt.placement)
-    this.setPending(attempt, 0, 0, now)
+    this.setPendingTokens(attempt, 0, 0, now)
     server.load.removeRequest(now)
     server.longRunning -= attempt.isLong ? 1 : 0
     server.suspectsRunning -= attempt.isSuspect ? 1 : 0
   }
 
-  private setPending (attempt: Attempt, pending: number, reportable: number, now: number): void {
+  private setPendingTokens (attempt: Attempt, pending: number, reportable: number, now: number): void {
     attempt.server.load.adjustTokens(pending - attempt.pendingTokens, reportable - attempt.reportableTokens, now)
     attempt.pendingTokens = pending
     attempt.reportableTokens = reportable
   }
 
-  private judgeProbe (server: Server, ratio: number, now: number): void {
-    if (ratio > PROBE_LATE) {
+  private applyProbeResult (server: Server, ratio: number, now: number): void {
+    if (ratio > PROBE_LATE_RATIO) {
       server.health.eject(this.fleet.instances, now)
       return
     }
@@ -146,7 +146,7 @@
     server.markCold(now)
   }
 
-  private observeFault ({ server, isProbe }: Attempt, ejectedShare: number, now: number): void {
+  private recordServerFault ({ server, isProbe }: Attempt, ejectedShare: number, now: number): void {
     const { health } = server
     health.recordFailure()
     if (health.standing === Standing.Ejected) {
--- a/packages/foxtaillever-policy/src/index.ts
+++ b/packages/foxtaillever-policy/src/index.ts
@@ -1,10 +1,10 @@
 /** Public surface of the decisions. */
-export * from './admission/admission.js'
+export * from './admission/checkAdmission.js'
 export { IntakeRule } from './admission/intake.js'
 export * from './job.js'
 export { LimitRule } from './limits/accountLimits.js'
 export * from './limits/shareOfLimit.js'
 export * from './scheduler.js'
 export type { SchedulerState, ServerSummary } from './schedulerState.js'
-export * from './services/serviceGate.js'
+export * from './services/serviceLimiter.js'
 export * from './suspects/suspectTable.js'
--- a/packages/foxtaillever-policy/src/order/dispatcher.ts
+++ b/packages/foxtaillever-policy/src/order/dispatcher.ts
@@ -1,13 +1,13 @@
 /**
- * Goes through the waiting jobs in order and sends those for which a server is
- * open and better than waiting.
+ * Goes through the waiting jobs in fair order and sends those for which using a
+ * server now is better than waiting.
  *
- * A job whose home is full is held back while the wait there costs less than
- * doing its prefill again elsewhere; the jobs behind it go first to other
- * servers. Without that, at full load each slot that frees up takes the next
- * job whatever it has cached, and the hit rate falls to that of round robin
- * just when capacity is scarce. The holding is bounded by a stored deadline and
- * by how many are looked at, so no order is overturned and no pass is long.
+ * A job whose home is full is held while the wait there costs less than repeating
+ * its prefill on another server; the jobs behind it may go to other servers
+ * first. Otherwise, at full load, each free slot would take the next job whatever
+ * the server has cached, and the hit rate would fall to that of round robin just
+ * when capacity is scarce. A stored deadline bounds each hold, and the number of
+ * skipped jobs is bounded, so the fair order holds and no pass takes long.
  */
 import { PriorityClass, type Preset } from 'foxtaillever-core'
 import { DecayingRate } from '../collections/decayingRate.js'
@@ -18,44 +18,45 @@
 import { Suspicion, type SuspectTable } from '../suspects/suspectTable.js'
 import type { RunningShares } from './runningShares.js'
 import type { WaitingJob } from './waitingJob.js'
-import type { WaitingRoom } from './waitingRoom.js'
+import type { WaitingJobs } from './waitingJobs.js'
 
-/** Jobs held back at most while others are looked at; bounds the cost of a pass. */
-const WINDOW = 32
+/** Jobs skipped in one pass at most; bounds the cost of a pass. */
+const MAX_SKIPPED_JOBS = 32
 
-/** A job this many times the mean is long. */
-const LONG_FACTOR = 4
+/** A job that costs this many times the mean is long. */
+const LONG_COST_FACTOR = 4
 
-/** The mean is over the last hundred jobs or so. */
+/** The mean covers about the last hundred jobs. */
 const MEAN_GAIN = 0.01
 
 /**
- * Room beyond the slots that is used at once. The engine's queue is seen by all
- * instances in its reports, while a job held back here is seen by none.
+ * Factor on the room that is used without holding a job. All instances see the
+ * engine's queue in its reports, while a job held here is visible to no other
+ * instance.
  */
-const ENGINE_QUEUE = 1.5
+const ENGINE_QUEUE_FACTOR = 1.5
 
 /**
- * Once its hold is over a job may stand in the engine's own queue, up to this
- * many times the room. Other instances' jobs may have taken each slot that it
- * waited for; the engine's queue is the one that all of them share.
+ * Once its hold is over, a job may enter the engine's own queue, up to this many
+ * times the room. Jobs of other instances may have taken each slot that it waited
+ * for; the engine's queue is shared by all instances.
  */
-const OVERCOMMIT = 2
+const OVERCOMMIT_FACTOR = 2
 
-/** Below this share of all slots taken there are slots enough for every account. */
-const CROWDED = 0.6
+/** Up to this utilisation there are enough slots for every account. */
+const CROWDED_UTILISATION = 0.6
 
-/** Held at most for this many times the wait that was expected. */
-const HOLD_FACTOR = 2
+/** A hold lasts at most this many times the expected wait. */
+const MAX_HOLD_FACTOR = 2
 
-/** And for this share of the time left. */
-const HOLD_SHARE = 0.25
+/** A hold lasts at most this share of the time left. */
+const MAX_HOLD_SHARE = 0.25
 
-/** Slots are kept for priority work while there was some within about this time. */
-const PRIORITY_FADE_MS = 10_000
+/** Slots are reserved for priority work while there was some within about this time. */
+const PRIORITY_DECAY_MS = 10_000
 
-/** Shortest hold, about one pass of events, milliseconds. */
-const LEAST_HOLD_MS = 20
+/** Minimum hold, about one pass of the event loop, milliseconds. */
+const MIN_HOLD_MS = 20
 
 export interface DispatchInput {
   readonly preset: Preset
@@ -64,7 +65,7 @@
   readonly now: number
 }
 
-export interface Dispatched {
+export interface DispatchedJob {
   readonly entry: WaitingJob
   readonly placement: Placement
   readonly isLong: boolean
@@ -74,46 +75,46 @@
 export interface DispatcherOptions {
   readonly fleet: ServerTable
   readonly placer: Placer
-  readonly room: WaitingRoom
+  readonly waitingJobs: WaitingJobs
   readonly suspects: SuspectTable
   readonly shares: RunningShares
-  /** Sends the job, so that the next one is weighed against what it adds. */
-  readonly send: (dispatched: Dispatched, now: number) => void
-  readonly quarantine: (entry: WaitingJob) => void
+  /** Sends the job at once, so that the next job is scored with its load included. */
+  readonly send: (dispatched: DispatchedJob, now: number) => void
+  readonly refuseQuarantined: (entry: WaitingJob) => void
 }
 
 interface RoomInput {
   readonly isPriority: boolean
-  /** A request of the priority class came within the last seconds. */
-  readonly hasPriorityWork: boolean
-  /** Its account runs more than twice its share. */
+  /** A request of the priority class was sent within the last seconds. */
+  readonly hasRecentPriorityJobs: boolean
+  /** The job's account runs more than twice its share. */
   readonly isHeavy: boolean
   readonly overdueMs: number
   readonly now: number
 }
 
-/** Requests that the server may have for this job to be sent there. */
-function roomFor (server: Server, { isPriority, hasPriorityWork, isHeavy, overdueMs, now }: RoomInput): number {
+/** The job is sent to the server only while the server has fewer requests than this. */
+function roomFor (server: Server, { isPriority, hasRecentPriorityJobs, isHeavy, overdueMs, now }: RoomInput): number {
   if (isPriority) {
-    // The engine takes it before all that waits there.
-    return server.room(now) * OVERCOMMIT
+    // The engine runs priority requests before all others in its queue.
+    return server.room(now) * OVERCOMMIT_FACTOR
   }
   if (isHeavy) {
     return server.roomForHeavyAccounts(now)
   }
-  if (hasPriorityWork) {
+  if (hasRecentPriorityJobs) {
     return server.roomBesidePriority(now)
   }
-  return server.room(now) * (overdueMs === 0 ? ENGINE_QUEUE : OVERCOMMIT)
+  return server.room(now) * (overdueMs === 0 ? ENGINE_QUEUE_FACTOR : OVERCOMMIT_FACTOR)
 }
 
 export class Dispatcher {
   private readonly meanCost = MovingMean.create(0, MEAN_GAIN)
-  /** Servers that jobs of this pass wait for. */
-  private readonly heldFor = new Set<Server>()
-  /** Where a server with room was found last; mostly it still has some. */
-  private cursor = 0
-  private readonly priorityWork = DecayingRate.create(PRIORITY_FADE_MS)
+  /** Servers for which jobs are held in this pass. */
+  private readonly awaitedServers = new Set<Server>()
+  /** Index of the server where room was found last; usually it still has room. */
+  private nextServerIndex = 0
+  private readonly recentPriorityJobs = DecayingRate.create(PRIORITY_DECAY_MS)
 
   private constructor (private readonly options: DispatcherOptions) {}
 
@@ -121,47 +122,47 @@
     return new Dispatcher(options)
   }
 
-  run (input: DispatchInput): void {
-    const { room, suspects } = this.options
+  dispatchJobs (input: DispatchInput): void {
+    const { waitingJobs, suspects } = this.options
     let skipped = 0
-    while (skipped < WINDOW && this.hasRoom(input.now)) {
-      const entry = room.queue.next()
+    while (skipped < MAX_SKIPPED_JOBS && this.hasRoom(input.now)) {
+      const entry = waitingJobs.queue.takeNext()
       if (!entry) {
         break
       }
       const suspicion = suspects.suspicionOf(entry.job.fingerprint, input.now)
       if (suspicion === Suspicion.Quarantined) {
-        this.options.quarantine(entry)
-      } else if (!this.tryToSend(entry, suspicion === Suspicion.Suspect, input)) {
-        room.queue.skip(entry)
+        this.options.refuseQuarantined(entry)
+      } else if (!this.sendOrHold(entry, suspicion === Suspicion.Suspect, input)) {
+        waitingJobs.queue.skip(entry)
         skipped += 1
       }
     }
-    room.queue.endPass()
-    this.heldFor.forEach(server => { server.heldJobs = 0 })
-    this.heldFor.clear()
+    waitingJobs.queue.endPass()
+    this.awaitedServers.forEach(server => { server.heldJobs = 0 })
+    this.awaitedServers.clear()
   }
 
   /** Whether any server could take one more request now. */
   private hasRoom (now: number): boolean {
     const servers = this.options.fleet.list()
     for (let step = 0; step < servers.length; step += 1) {
-      const index = (this.cursor + step) % servers.length
+      const index = (this.nextServerIndex + step) % servers.length
       const server = servers[index] as Server
-      if (server.load.occupancy(now) < server.room(now) * OVERCOMMIT) {
-        this.cursor = index
+      if (server.load.occupancy(now) < server.room(now) * OVERCOMMIT_FACTOR) {
+        this.nextServerIndex = index
         return true
       }
     }
     return false
   }
 
-  private tryToSend (entry: WaitingJob, isSuspect: boolean, input: DispatchInput): boolean {
+  private sendOrHold (entry: WaitingJob, isSuspect: boolean, input: DispatchInput): boolean {
     const { now } = input
     const isLong = this.isLong(entry)
     const overdueMs = Math.max(0, now - entry.holdUntil)
-    const isHeavy = this.options.fleet.utilisation > CROWDED && this.options.shares.isHeavy(entry)
-    const room = { now, overdueMs, isHeavy, isPriority: entry.job.priority === PriorityClass.Priority, hasPriorityWork: this.hasPriorityWork(now) }
+    const isHeavy = this.options.fleet.utilisation > CROWDED_UTILISATION && this.options.shares.isHeavy(entry)
+    const room = { now, overdueMs, isHeavy, isPriority: entry.job.priority === PriorityClass.Priority, hasRecentPriorityJobs: this.hasRecentPriorityJobs(now) }
     const placement = this.options.placer.place(input.preset.placement, {
       job: entry.job,
       weightsVersion: input.weightsVersionOf(entry.job.model),
@@ -178,32 +179,32 @@
       return false
     }
     if (placement.isHeld) {
-      this.hold(entry, placement, now)
+      this.holdJob(entry, placement, now)
       return false
     }
     this.meanCost.add(entry.cost)
     if (entry.job.priority === PriorityClass.Priority) {
-      this.priorityWork.add(1, now)
+      this.recentPriorityJobs.add(1, now)
     }
     this.options.send({ entry, placement, isLong, isSuspect }, now)
     return true
   }
 
-  private hold (entry: WaitingJob, placement: Placement, now: number): void {
+  private holdJob (entry: WaitingJob, placement: Placement, now: number): void {
     placement.server.heldJobs += 1
-    this.heldFor.add(placement.server)
+    this.awaitedServers.add(placement.server)
     if (entry.holdUntil === Infinity) {
-      const longest = (entry.latestStart - now) * HOLD_SHARE
-      entry.holdUntil = now + Math.min(longest, LEAST_HOLD_MS + HOLD_FACTOR * placement.waitMs)
+      const maxHoldMs = (entry.latestStart - now) * MAX_HOLD_SHARE
+      entry.holdUntil = now + Math.min(maxHoldMs, MIN_HOLD_MS + MAX_HOLD_FACTOR * placement.waitMs)
     }
   }
 
   private isLong ({ cost }: WaitingJob): boolean {
-    return this.meanCost.samples > 0 && cost > LONG_FACTOR * this.meanCost.value
+    return this.meanCost.samples > 0 && cost > LONG_COST_FACTOR * this.meanCost.value
   }
 
-  /** Whether a request of the priority class came within the last seconds. */
-  private hasPriorityWork (now: number): boolean {
-    return this.priorityWork.value(now) * PRIORITY_FADE_MS > Math.exp(-1)
+  /** Whether a request of the priority class was sent within the last seconds. */
+  private hasRecentPriorityJobs (now: number): boolean {
+    return this.recentPriorityJobs.value(now) * PRIORITY_DECAY_MS > Math.exp(-1)
   }
 }
--- a/packages/foxtaillever-policy/src/order/fairClass.ts
+++ b/packages/foxtaillever-policy/src/order/fairClass.ts
@@ -1,39 +1,40 @@
 /**
- * Weighted fair order of the jobs of one priority class over client accounts:
- * start-time fair queueing. A job's turn is the virtual time at which its
- * account has been served what went before, each unit of cost counting
- * 1 / weight. An account that floods the class only moves its own turns back.
+ * Weighted fair queue of the jobs of one priority class, by client account:
+ * start-time fair queueing. The turn of a job is its virtual start time: the
+ * virtual time at which the account's earlier jobs have been served, where each
+ * unit of cost counts 1 / weight. An account that floods the class delays only
+ * its own jobs.
  */
 import { Heap } from '../collections/heap.js'
 import type { WaitingJob } from './waitingJob.js'
 
-interface AccountTurns {
+interface AccountQueue {
   /** Turn of the account's next job. */
-  next: number
+  nextTurn: number
   waiting: number
   work: number
   weight: number
-  /** In order of arrival; those gone are dropped now and then. */
+  /** In order of arrival; jobs that are gone are removed now and then. */
   jobs: WaitingJob[]
 }
 
-function loadOf (account: AccountTurns): number {
+function loadOf (account: AccountQueue): number {
   return account.work / account.weight
 }
 
-/** Dead entries that a heap may carry beyond the living. */
-const DEAD_ALLOWED = 64
+/** Entries of jobs that are gone which a heap may hold before it is cleaned. */
+const MAX_GONE_ENTRIES = 64
 
 export class FairClass {
-  private readonly heap = Heap.create<WaitingJob>((one, other) => one.turn < other.turn || (one.turn === other.turn && one.sequence < other.sequence))
-  private readonly accounts = new Map<string, AccountTurns>()
+  private readonly jobsByTurn = Heap.create<WaitingJob>((a, b) => a.turn < b.turn || (a.turn === b.turn && a.sequence < b.sequence))
+  private readonly accounts = new Map<string, AccountQueue>()
   private virtualTime = 0
   private sequence = 0
   /** Waiting jobs. */
   size = 0
-  /** Their cost, milliseconds of a server's slot. */
+  /** Cost of the waiting jobs, milliseconds of a server's slot. */
   work = 0
-  /** Weights of the accounts that wait. */
+  /** Sum of the weights of accounts with waiting jobs. */
   activeWeight = 0
 
   private constructor () {}
@@ -45,48 +46,48 @@
   add (entry: WaitingJob): void {
     const account = this.accountOf(entry)
     const isRetry = entry.attempts > 0
-    entry.turn = isRetry ? this.virtualTime : Math.max(this.virtualTime, account.next)
+    entry.turn = isRetry ? this.virtualTime : Math.max(this.virtualTime, account.nextTurn)
     entry.sequence = this.sequence++
     if (!isRetry) {
-      account.next = entry.turn + entry.cost / entry.weight
+      account.nextTurn = entry.turn + entry.cost / entry.weight
     }
     this.activeWeight += account.waiting === 0 ? entry.weight : 0
-    this.count(account, entry, 1)
+    this.updateCounts(account, entry, 1)
     account.jobs.push(entry)
-    if (account.jobs.length > 2 * account.waiting + DEAD_ALLOWED) {
+    if (account.jobs.length > 2 * account.waiting + MAX_GONE_ENTRIES) {
       account.jobs = account.jobs.filter(({ gone }) => !gone)
     }
-    this.heap.push(entry)
+    this.jobsByTurn.push(entry)
   }
 
-  /** Takes the job out without charging its account; it was not served. */
+  /** Removes a job that was not sent, without charging its account. */
   remove (entry: WaitingJob): void {
-    const account = this.leave(entry)
+    const account = this.removeFromAccount(entry)
     if (entry.attempts === 0) {
-      account.next -= entry.cost / entry.weight
+      account.nextTurn -= entry.cost / entry.weight
     }
-    this.prune(entry.job.account, account)
+    this.pruneAccount(entry.job.account, account)
   }
 
-  /** The job was sent. */
-  serve (entry: WaitingJob): void {
+  /** Records that the job was sent. */
+  recordSent (entry: WaitingJob): void {
     this.virtualTime = Math.max(this.virtualTime, entry.turn)
-    this.prune(entry.job.account, this.leave(entry))
+    this.pruneAccount(entry.job.account, this.removeFromAccount(entry))
   }
 
-  /** Next job in fair order; out of the heap until `putBack`. */
-  next (): WaitingJob | undefined {
-    this.dropDead()
-    return this.heap.pop()
+  /** Removes the next job in fair order from the heap; `putBack` returns it. */
+  takeNext (): WaitingJob | undefined {
+    this.dropGoneJobs()
+    return this.jobsByTurn.pop()
   }
 
   hasNext (): boolean {
-    this.dropDead()
-    return this.heap.size > 0
+    this.dropGoneJobs()
+    return this.jobsByTurn.size > 0
   }
 
   putBack (entry: WaitingJob): void {
-    this.heap.push(entry)
+    this.jobsByTurn.push(entry)
   }
 
   workOf (account: string): number {
@@ -97,17 +98,17 @@
     return this.accounts.get(account)?.waiting ?? 0
   }
 
-  /** Corrects what the account was charged once the true cost is known. */
-  correct (account: string, difference: number, weight: number): void {
-    const turns = this.accounts.get(account)
-    if (turns) {
-      turns.next += difference / weight
+  /** Corrects the charge of the account once the actual cost is known. */
+  correctCharge (account: string, difference: number, weight: number): void {
+    const queue = this.accounts.get(account)
+    if (queue) {
+      queue.nextTurn += difference / weight
     }
   }
 
-  /** The latest job of the account whose waiting work is most above its weight. */
-  lastOfHeaviest (): WaitingJob | undefined {
-    let heaviest: AccountTurns | undefined
+  /** The latest job of the account with the most waiting work for its weight. */
+  lastJobOfHeaviestAccount (): WaitingJob | undefined {
+    let heaviest: AccountQueue | undefined
     for (const account of this.accounts.values()) {
       if (account.waiting > 0 && loadOf(account) > (heaviest ? loadOf(heaviest) : 0)) {
         heaviest = account
@@ -116,44 +117,44 @@
     return heaviest?.jobs.findLast(entry => !entry.gone)
   }
 
-  private leave (entry: WaitingJob): AccountTurns {
+  private removeFromAccount (entry: WaitingJob): AccountQueue {
     const account = this.accountOf(entry)
     entry.gone = true
-    this.count(account, entry, -1)
+    this.updateCounts(account, entry, -1)
     this.activeWeight -= account.waiting === 0 ? entry.weight : 0
     return account
   }
 
-  private count (account: AccountTurns, entry: WaitingJob, sign: 1 | -1): void {
+  private updateCounts (account: AccountQueue, entry: WaitingJob, sign: 1 | -1): void {
     account.waiting += sign
     account.work += sign * entry.cost
     this.size += sign
     this.work += sign * entry.cost
   }
 
-  private accountOf ({ job, weight }: WaitingJob): AccountTurns {
+  private accountOf ({ job, weight }: WaitingJob): AccountQueue {
     const known = this.accounts.get(job.account)
     if (known) {
       return known
     }
-    const account = { next: this.virtualTime, waiting: 0, work: 0, weight, jobs: [] }
+    const account = { nextTurn: this.virtualTime, waiting: 0, work: 0, weight, jobs: [] }
     this.accounts.set(job.account, account)
     return account
   }
 
-  /** An account that waits for nothing and owes nothing needs no entry. */
-  private prune (name: string, account: AccountTurns): void {
-    if (account.waiting === 0 && account.next <= this.virtualTime) {
+  /** Removes the entry of an account without waiting jobs whose charge has been worked off. */
+  private pruneAccount (name: string, account: AccountQueue): void {
+    if (account.waiting === 0 && account.nextTurn <= this.virtualTime) {
       this.accounts.delete(name)
     }
   }
 
-  private dropDead (): void {
-    while (this.heap.peek()?.gone) {
-      this.heap.pop()
+  private dropGoneJobs (): void {
+    while (this.jobsByTurn.peek()?.gone) {
+      this.jobsByTurn.pop()
     }
-    if (this.heap.size > 2 * this.size + DEAD_ALLOWED) {
-      this.heap.keep(entry => !entry.gone)
+    if (this.jobsByTurn.size > 2 * this.size + MAX_GONE_ENTRIES) {
+      this.jobsByTurn.keep(entry => !entry.gone)
     }
   }
 }
--- a/packages/foxtaillever-policy/src/order/fairQueue.ts
+++ b/packages/foxtaillever-policy/src/order/fairQueue.ts
@@ -1,22 +1,23 @@
 /**
- * The order of all waiting jobs: priority classes one above the other, a floor
- * for the lower ones, fair order over accounts within each.
+ * The queue of all waiting jobs: priority classes in strict order, a guaranteed
+ * share (the floor) for the lower classes, and fair order over accounts within
+ * each class.
  *
- * Strict classes alone let the priority class stop bulk work for hours; one
- * notices jobs that wait until their deadline while the fleet is busy. No
- * classes at all let bulk work stand before the firm's. So while both wait, the
- * lower classes get the floor's share of what is served, and no more.
+ * With strict order alone, the priority class could block bulk work for hours;
+ * the symptom is jobs that wait until their deadline while the fleet is busy.
+ * Without classes, bulk work would run before the firm's. So while both wait, the
+ * lower classes get the floor's share of the served cost, and no more.
  */
 import { PriorityClass } from 'foxtaillever-core'
 import { FairClass } from './fairClass.js'
 import type { WaitingJob } from './waitingJob.js'
 
-const order = [PriorityClass.Priority, PriorityClass.Standard, PriorityClass.Bulk]
+const classOrder = [PriorityClass.Priority, PriorityClass.Standard, PriorityClass.Bulk]
 
 export class FairQueue {
-  private readonly classes = new Map(order.map(name => [name, FairClass.create()]))
-  /** For each class, cost that those below it are owed, milliseconds. */
-  private readonly owed = order.map(() => 0)
+  private readonly classes = new Map(classOrder.map(name => [name, FairClass.create()]))
+  /** For each class, the cost that the classes below it are owed, milliseconds. */
+  private readonly owedCost = classOrder.map(() => 0)
   private floorShare = 0
   private skipped: WaitingJob[] = []
 
@@ -27,14 +28,14 @@
   }
 
   get size (): number {
-    return order.reduce((sum, name) => sum + this.classOf(name).size, 0)
+    return classOrder.reduce((sum, name) => sum + this.classOf(name).size, 0)
   }
 
   classOf (name: PriorityClass): FairClass {
     return this.classes.get(name) as FairClass
   }
 
-  setFloor (share: number): void {
+  setFloorShare (share: number): void {
     this.floorShare = share
   }
 
@@ -46,21 +47,21 @@
     this.classOf(entry.job.priority).remove(entry)
   }
 
-  /** Next job in order; to be answered with `serve` or `skip`. */
-  next (): WaitingJob | undefined {
-    return this.pick(0)?.next()
+  /** Takes the next job in order; the caller then calls `recordSent` or `skip`. */
+  takeNext (): WaitingJob | undefined {
+    return this.pickClass(0)?.takeNext()
   }
 
-  /** The job was sent: charges the floor. */
-  serve (entry: WaitingJob): void {
-    const rank = order.indexOf(entry.job.priority)
-    for (let above = 0; above <= rank && above < order.length - 1; above += 1) {
-      this.charge(above, above === rank, entry.cost)
+  /** Records that the job was sent, and updates what the lower classes are owed. */
+  recordSent (entry: WaitingJob): void {
+    const rank = classOrder.indexOf(entry.job.priority)
+    for (let above = 0; above <= rank && above < classOrder.length - 1; above += 1) {
+      this.updateOwedCost(above, above === rank, entry.cost)
     }
-    this.classOf(entry.job.priority).serve(entry)
+    this.classOf(entry.job.priority).recordSent(entry)
   }
 
-  /** The job stays where it is; `endPass` puts it back. */
+  /** Skips the job in this pass; `endPass` puts it back in its place. */
   skip (entry: WaitingJob): void {
     this.skipped.push(entry)
   }
@@ -74,36 +75,36 @@
     this.skipped = []
   }
 
-  /** The job to give up for a newcomer of the class: of the lowest class below it that waits. */
-  displacedBy (name: PriorityClass): WaitingJob | undefined {
-    const below = order.slice(order.indexOf(name) + 1).findLast(lower => this.classOf(lower).size > 0)
-    return below && this.classOf(below).lastOfHeaviest()
+  /** The job to drop for a new one of the class, from the lowest class below it with waiting jobs. */
+  findDisplaceable (name: PriorityClass): WaitingJob | undefined {
+    const below = classOrder.slice(classOrder.indexOf(name) + 1).findLast(lower => this.classOf(lower).size > 0)
+    return below && this.classOf(below).lastJobOfHeaviestAccount()
   }
 
-  /** Cost that waits in the classes above. */
+  /** Cost of the jobs waiting in the classes above. */
   workAbove (name: PriorityClass): number {
-    return order.slice(0, order.indexOf(name)).reduce((sum, above) => sum + this.classOf(above).work, 0)
+    return classOrder.slice(0, classOrder.indexOf(name)).reduce((sum, above) => sum + this.classOf(above).work, 0)
   }
 
-  private waitsBelow (rank: number): boolean {
-    return order.slice(rank + 1).some(name => this.classOf(name).size > 0)
+  private hasWaitingBelow (rank: number): boolean {
+    return classOrder.slice(rank + 1).some(name => this.classOf(name).size > 0)
   }
 
-  private charge (rank: number, servedHere: boolean, cost: number): void {
-    const own = this.classOf(order[rank] as PriorityClass)
-    if (servedHere) {
-      this.owed[rank] = this.waitsBelow(rank) ? (this.owed[rank] ?? 0) + cost * this.floorShare : 0
+  private updateOwedCost (rank: number, isServedClass: boolean, cost: number): void {
+    const own = this.classOf(classOrder[rank] as PriorityClass)
+    if (isServedClass) {
+      this.owedCost[rank] = this.hasWaitingBelow(rank) ? (this.owedCost[rank] ?? 0) + cost * this.floorShare : 0
     } else if (own.hasNext()) {
-      this.owed[rank] = (this.owed[rank] ?? 0) - cost * (1 - this.floorShare)
+      this.owedCost[rank] = (this.owedCost[rank] ?? 0) - cost * (1 - this.floorShare)
     }
   }
 
-  private pick (rank: number): FairClass | undefined {
-    const own = this.classOf(order[rank] as PriorityClass)
-    const below = rank + 1 < order.length ? this.pick(rank + 1) : undefined
+  private pickClass (rank: number): FairClass | undefined {
+    const own = this.classOf(classOrder[rank] as PriorityClass)
+    const below = rank + 1 < classOrder.length ? this.pickClass(rank + 1) : undefined
     if (!own.hasNext()) {
       return below
     }
-    return below && (this.owed[rank] ?? 0) > 0 ? below : own
+    return below && (this.owedCost[rank] ?? 0) > 0 ? below : own
   }
 }
--- a/packages/foxtaillever-policy/src/order/runningShares.ts
+++ b/packages/foxtaillever-policy/src/order/runningShares.ts
@@ -1,27 +1,27 @@
 /**
- * Which client accounts run more than their share right now.
+ * Tracks which client accounts run more than their share.
  *
- * Fair order decides who goes next, but not what is free when a job comes: an
- * account at ten times its share holds every slot of the servers it uses, and a
- * job of another account has the first turn and still waits for one of them to
- * end. So an account that runs more than twice its share leaves some slots to
- * the others.
+ * Fair order decides which job is next, but not whether a slot is free: an
+ * account at ten times its share occupies every slot of the servers it uses, and
+ * a job of another account still waits for one of these to end, even as the next
+ * in order. So an account that runs more than twice its share leaves some slots
+ * to the others.
  */
 import type { WaitingJob } from './waitingJob.js'
 
 /** Above this many times its share an account is heavy. */
 const HEAVY_FACTOR = 2
 
-/** With fewer running than this no share is exceeded to speak of. */
-const LEAST_RUNNING = 4
+/** An account with fewer running jobs than this is never heavy. */
+const MIN_RUNNING = 4
 
-interface Running {
+interface RunningAccount {
   jobs: number
   weight: number
 }
 
 export class RunningShares {
-  private readonly accounts = new Map<string, Running>()
+  private readonly accounts = new Map<string, RunningAccount>()
   private jobs = 0
   private weight = 0
 
@@ -55,10 +55,10 @@
     }
   }
 
-  /** An account that runs alone has no one to leave slots to. */
+  /** Whether the job's account is heavy; an account that runs alone never is. */
   isHeavy ({ job }: WaitingJob): boolean {
     const running = this.accounts.get(job.account)
-    if (!running || this.accounts.size < 2 || running.jobs < LEAST_RUNNING) {
+    if (!running || this.accounts.size < 2 || running.jobs < MIN_RUNNING) {
       return false
     }
     return running.jobs > HEAVY_FACTOR * this.jobs * running.weight / this.weight
--- a/packages/foxtaillever-policy/src/order/waitingJob.ts
+++ b/packages/foxtaillever-policy/src/order/waitingJob.ts
@@ -1,28 +1,28 @@
-/** A job as it waits at this instance. */
+/** A job that waits at this instance. */
 import type { Job } from '../job.js'
 
 export interface WaitingJob {
   readonly job: Job
-  /** What the account is charged, milliseconds of a server's slot. */
+  /** Cost charged to the account, milliseconds of a server's slot. */
   readonly cost: number
-  /** The same as tokens of uncached prefill and decode, for the account's limit. */
+  /** The cost in tokens of uncached prefill and decode, for the account's limit. */
   readonly tokens: number
   /** Part of the cost that is decode, milliseconds. */
   readonly decodeMs: number
   readonly weight: number
-  /** Started later than this it cannot end in time, milliseconds of Unix time. */
+  /** Latest start at which the job can still end in time, milliseconds of Unix time. */
   readonly latestStart: number
-  /** Backend servers that failed it. */
+  /** Names of the backend servers where an attempt failed. */
   readonly failedAt: readonly string[]
   readonly attempts: number
-  /** A retry is not sent before this, milliseconds of Unix time. */
+  /** Earliest time at which a retry is sent, milliseconds of Unix time. */
   readonly notBefore: number
-  /** Until then it may wait for a better server; set when it first does. */
+  /** End of the time that the job may be held for a better server; set when it is first held. */
   holdUntil: number
-  /** Withdrawn, refused or sent; heaps drop it when they meet it. */
+  /** Withdrawn, refused or sent; heaps drop such jobs later. */
   gone: boolean
-  /** Place in the fair order: virtual time at which its turn comes. */
+  /** Position in the fair order: virtual start time of the job. */
   turn: number
-  /** Rises with each job taken in; decides between equal turns. */
+  /** Rises with each added job; decides between equal turns. */
   sequence: number
 }
--- a/packages/foxtaillever-policy/src/scheduler.ts
+++ b/packages/foxtaillever-policy/src/scheduler.ts
@@ -9,15 +9,15 @@
   type Configuration, type ListedState, type LoadReport, type Preset, type Random, type StreamEnd, type StreamStart
 } from 'foxtaillever-core'
 import type { Either } from 'purify-ts'
-import { AdmissionRule } from './admission/admission.js'
+import { AdmissionRule } from './admission/checkAdmission.js'
 import { Intake, type RuledFailure } from './admission/intake.js'
 import { Attempt } from './attempts/attempt.js'
 import { AttemptTable } from './attempts/attemptTable.js'
 import type { Assignment, Decisions, Job, Refusal } from './job.js'
 import type { AccountDemand } from './limits/shareOfLimit.js'
-import { Dispatcher, type Dispatched } from './order/dispatcher.js'
+import { Dispatcher, type DispatchedJob } from './order/dispatcher.js'
 import type { WaitingJob } from './order/waitingJob.js'
-import { WaitingRoom } from './order/waitingRoom.js'
+import { WaitingJobs } from './order/waitingJobs.js'
 import { Placer } from './placement/placer.js'
 import { decideRetry } from './retries/decideRetry.js'
 import { RetryBudget } from './retries/retryBudget.js'
@@ -48,7 +48,7 @@
 export class Scheduler {
   private configuration: Configuration = emptyConfiguration
   private readonly fleet = ServerTable.create()
-  private readonly room = WaitingRoom.create()
+  private readonly waitingJobs = WaitingJobs.create()
   private readonly budget = RetryBudget.create()
   private readonly suspects = SuspectTable.create()
   private readonly placer: Placer
@@ -66,17 +66,17 @@
     const distanceTo = (domain: string): number => domain === options.failureDomain ? 0 : options.distancesMs?.[domain] ?? DISTANCE_MS
     this.placer = Placer.create({ fleet: this.fleet, random: options.random, distanceTo })
     this.attempts = AttemptTable.create(this.fleet, this.placer)
-    const { fleet, room, placer, attempts, suspects } = this
+    const { fleet, waitingJobs, placer, attempts, suspects } = this
     const displace = (entry: WaitingJob, refusal: RuledFailure): void => this.refuseWaiting(entry, refusal)
-    this.intake = Intake.create({ fleet, room, attempts, suspects, displace })
+    this.intake = Intake.create({ fleet, waitingJobs, attempts, suspects, displace })
     this.dispatcher = Dispatcher.create({
       fleet,
       placer,
-      room,
+      waitingJobs,
       suspects,
       shares: attempts.shares,
       send: (dispatched, now) => this.send(dispatched, now),
-      quarantine: entry => this.refuseWaiting(entry, this.intake.quarantineOf(entry.job))
+      refuseQuarantined: entry => this.refuseWaiting(entry, this.intake.createQuarantineRefusal(entry.job))
     })
   }
 
@@ -89,7 +89,7 @@
     this.configuration = configuration
     this.fleet.configure(configuration, now)
     this.intake.configure(configuration)
-    this.room.queue.setFloor(this.preset.floorShare)
+    this.waitingJobs.queue.setFloorShare(this.preset.floorShare)
     this.setDrainPrior()
   }
 
@@ -139,7 +139,7 @@
   /** Takes in a job, or refuses it at once. */
   offer (job: Job, now: number): Either<Failure, void> {
     this.now = now
-    return this.intake.take(job, now).bimap(
+    return this.intake.acceptJob(job, now).bimap(
       refusal => this.countRefusal(refusal),
       entry => this.takeIn(entry, now)
     )
@@ -147,15 +147,15 @@
 
   /** Forgets a job whose caller has gone. */
   withdraw (jobId: string): void {
-    const waiting = this.room.get(jobId)
+    const waiting = this.waitingJobs.get(jobId)
     if (waiting) {
-      this.room.remove(waiting)
-      this.intake.settle(waiting, 0)
+      this.waitingJobs.remove(waiting)
+      this.intake.refundUnusedTokens(waiting, 0)
     }
     const attempt = this.attempts.get(jobId)
     if (attempt) {
       this.attempts.remove(attempt, this.now)
-      this.intake.settle(attempt.entry, attempt.entry.tokens)
+      this.intake.refundUnusedTokens(attempt.entry, attempt.entry.tokens)
     }
   }
 
@@ -163,10 +163,10 @@
   tick (now: number): Decisions {
     this.now = now
     this.fleet.tick(this.preset.ejectedShare, now)
-    this.room.wakePaused(now)
-    this.room.takeExpired(now).forEach(entry => this.refuse(entry, expiryOf(entry, now)))
-    this.intake.drain.tick(this.room.queue.size > 0, now)
-    this.dispatcher.run({
+    this.waitingJobs.resumePaused(now)
+    this.waitingJobs.removeExpired(now).forEach(entry => this.refuse(entry, expiryOf(entry, now)))
+    this.intake.drain.tick(this.waitingJobs.queue.size > 0, now)
+    this.dispatcher.dispatchJobs({
       preset: this.preset,
       weightsVersionOf: model => this.configuration.models[model]?.weightsVersion ?? '',
       serviceMs: this.attempts.serviceMs,
@@ -183,7 +183,7 @@
     const attempt = this.attempts.get(jobId)
     if (attempt) {
       this.suspects.observeIncarnation(attempt.server.name, start.incarnation, now, now)
-      this.attempts.started(attempt, start, now)
+      this.attempts.recordStart(attempt, start, now)
     }
   }
 
@@ -191,7 +191,7 @@
   firstToken (jobId: string, now: number): void {
     const attempt = this.attempts.get(jobId)
     if (attempt && attempt.firstTokenAt === 0) {
-      this.attempts.firstToken(attempt, now)
+      this.attempts.recordFirstToken(attempt, now)
     }
   }
 
@@ -202,9 +202,9 @@
       return
     }
     const { entry } = attempt
-    this.attempts.finished(attempt, end, now)
+    this.attempts.recordFinish(attempt, end, now)
     this.suspects.clear(entry.job.fingerprint, now)
-    this.intake.observeEnd(entry, end)
+    this.intake.recordEnd(entry, end)
   }
 
   /** An attempt failed; says whether the job waits again. */
@@ -214,17 +214,17 @@
       return Sequel.GivenUp
     }
     const { entry, server } = attempt
-    this.attempts.failed(attempt, failure, this.preset.ejectedShare, now)
+    this.attempts.recordFailure(attempt, failure, this.preset.ejectedShare, now)
     if (isCrash(failure)) {
       this.suspects.accuse(entry.job.fingerprint, server.name, attempt.incarnation, now)
     }
     const notBefore = this.retryTime(attempt, failure, now)
     if (notBefore === undefined) {
-      this.intake.settle(entry, entry.tokens)
+      this.intake.refundUnusedTokens(entry, entry.tokens)
       return Sequel.GivenUp
     }
     const failedAt = [...entry.failedAt, server.name]
-    this.room.add({ ...entry, failedAt, attempts: entry.attempts + 1, notBefore, holdUntil: Infinity, gone: false }, now)
+    this.waitingJobs.add({ ...entry, failedAt, attempts: entry.attempts + 1, notBefore, holdUntil: Infinity, gone: false }, now)
     return Sequel.Retried
   }
 
@@ -233,7 +233,7 @@
     return dumpScheduler({
       servers: this.fleet.list(),
       now: this.now,
-      waiting: this.room.size,
+      waiting: this.waitingJobs.size,
       running: this.attempts.size,
       prefixes: this.placer.prefixes.size,
       suspects: this.suspects.size,
@@ -252,10 +252,10 @@
     this.intake.drain.setPrior(slots / this.instances)
   }
 
-  private send ({ entry, placement, isLong, isSuspect }: Dispatched, now: number): void {
+  private send ({ entry, placement, isLong, isSuspect }: DispatchedJob, now: number): void {
     const attempt = Attempt.create({ entry, placement, isLong, isSuspect, sentAt: now })
-    this.room.serve(entry)
-    this.intake.drain.serve(entry.cost)
+    this.waitingJobs.recordSent(entry)
+    this.intake.drain.recordSent(entry.cost)
     this.placer.recordSend(entry.job.id, placement, entry.decodeMs / placement.server.configured.slots, now)
     this.attempts.add(attempt)
     this.assignments.push({ jobId: entry.job.id, server: placement.server.name, candidates: placement.candidates, rule: this.preset.placement })
@@ -270,18 +270,18 @@
   }
 
   private refuseWaiting (entry: WaitingJob, refusal: RuledFailure): void {
-    this.room.remove(entry)
+    this.waitingJobs.remove(entry)
     this.refuse(entry, refusal)
   }
 
   private refuse (entry: WaitingJob, refusal: RuledFailure): void {
-    this.intake.settle(entry, 0)
+    this.intake.refundUnusedTokens(entry, 0)
     this.refusals.push({ jobId: entry.job.id, rule: refusal.rule, failure: this.countRefusal(refusal) })
   }
 
   private takeIn (entry: WaitingJob, now: number): void {
     this.budget.addFirstTry(this.preset.retryShare)
-    this.room.add(entry, now)
+    this.waitingJobs.add(entry, now)
   }
 
   private countRefusal ({ rule, failure }: RuledFailure): Failure {
--- a/packages/foxtaillever-router/src/plain/plainRouter.ts
+++ b/packages/foxtaillever-router/src/plain/plainRouter.ts
@@ -11,7 +11,7 @@
   CallerHeader, emptyConfiguration, Failure, FailureCode,
   type Cancellation, type ClientAccount, type Clock, type Configuration, type Random, type Verdict
 } from 'foxtaillever-core'
-import { ServiceGate, type PassListener } from 'foxtaillever-policy'
+import { ServiceLimiter, type SlotListener } from 'foxtaillever-policy'
 import { CallerAnswer } from 'foxtaillever-relay/exchange/callerAnswer'
 import type { ExchangeDesk } from 'foxtaillever-relay/exchange/exchangeDesk'
 import type { Exchange, ExchangeHead } from 'foxtaillever-relay/model/exchange'
@@ -52,7 +52,7 @@
 const TICK_MS = 20
 
 export class PlainRouter {
-  private readonly gate = ServiceGate.create()
+  private readonly gate = ServiceLimiter.create()
   private readonly log: RelayLog
   private readonly desk: ExchangeDesk
   private readonly servers: PlainServers
@@ -147,7 +147,7 @@
   private relay (caller: Caller, exchange: Exchange, onOver: (verdict: Verdict) => void): void {
     const { service, deadline } = exchange
     const id = `plain-${++this.calls}`
-    const onPass: PassListener = pass => {
+    const onPass: SlotListener = pass => {
       caller.response.off('close', onGone)
       pass.caseOf({
         Left: failure => {
@@ -159,17 +159,17 @@
       })
     }
     const onGone = (): void => {
-      this.gate.withdraw(id)
+      this.gate.withdrawCall(id)
       onPass(Left(Failure.notRun(FailureCode.Cancelled, 'The caller has gone.')))
     }
     caller.response.once('close', onGone)
-    this.gate.acquire({ id, service, deadline }, this.options.clock.now(), onPass)
+    this.gate.acquireSlot({ id, service, deadline }, this.options.clock.now(), onPass)
   }
 
   private run ({ answer }: Caller, exchange: Exchange, id: string, onOver: (verdict: Verdict) => void): void {
     this.desk.runs.start(exchange, answer, verdict => {
       this.open -= 1
-      this.gate.release(id, this.options.clock.now())
+      this.gate.releaseSlot(id, this.options.clock.now())
       onOver(verdict)
     })
   }
