--- a/packages/foxtaillever-policy/src/__fixtures__/callers.ts
+++ b/packages/foxtaillever-policy/src/__fixtures__/callers.ts
@@ -1,23 +1,23 @@
 /**
- * Callers before one or more instances of the decisions, and the fake servers
- * behind them, in virtual time. Tests ask it what each caller received.
+ * Simulates callers, one or more schedulers and the fake servers behind them, in
+ * virtual time. Tests read the result of each caller.
  */
 import {
   AdministrativeState, createPreset, emptyConfiguration, Failure, FailureCode, PlacementPolicy, PresetName, PriorityClass, SeededRandom, ServerKind, Verdict,
   type ClientAccount, type Configuration, type Preset
 } from 'foxtaillever-core'
 import type { Job } from '../job.js'
-import { Scheduler, Sequel } from '../scheduler.js'
-import { crash, createFakeServer, stepServer, submit, type FakeRun, type FakeServer } from './fakeServers.js'
+import { FailureOutcome, Scheduler } from '../scheduler.js'
+import { createFakeServer, enqueue, restartEmpty, stepServer, type FakeRun, type FakeServer } from './fakeServers.js'
 
 const STEP_MS = 5
-const REPORT_EVERY_MS = 500
-const REPORT_LATE_MS = 300
-const START = 1_000_000
+const REPORT_INTERVAL_MS = 500
+const REPORT_DELAY_MS = 300
+const START_MS = 1_000_000
 export const MODEL = 'model'
 
-/** What one caller received. */
-export interface Received {
+/** What one caller got as an answer. */
+export interface CallerResult {
   readonly job: Job
   state: 'open' | 'answered' | 'refused' | 'failed'
   firstTokenMs: number
@@ -64,15 +64,15 @@
 }
 
 export class Callers {
-  now = START
-  readonly received: Received[] = []
+  now = START_MS
+  readonly results: CallerResult[] = []
   readonly servers: FakeServer[]
   readonly schedulers: Scheduler[]
   readonly random: SeededRandom
-  /** Fingerprints that crash each server that begins to run them. */
-  readonly poison = new Set<string>()
-  private readonly byId = new Map<string, { received: Received, answerTokens: number, scheduler: Scheduler }>()
-  private readonly lateReports: Array<{ at: number, deliver: () => void }> = []
+  /** Fingerprints of requests that crash each server that begins to run them. */
+  readonly crashingFingerprints = new Set<string>()
+  private readonly byId = new Map<string, { result: CallerResult, answerTokens: number, scheduler: Scheduler }>()
+  private readonly delayedReports: Array<{ at: number, deliver: () => void }> = []
 
   private constructor (readonly options: CallersOptions) {
     const configuration = createTestConfiguration(options)
@@ -81,7 +81,7 @@
     this.schedulers = Array.from({ length: options.instances ?? 1 }, (_, index) => {
       const scheduler = Scheduler.create({ random: SeededRandom.create((options.seed ?? 1) * 100 + index), failureDomain: `domain-${index % 3 + 1}` })
       scheduler.configure(configuration, this.now)
-      scheduler.observeInstances(options.instances ?? 1, index)
+      scheduler.setInstances(options.instances ?? 1, index)
       return scheduler
     })
   }
@@ -90,18 +90,18 @@
     return new Callers(options)
   }
 
-  call (call: Call, instance = this.random.below(this.schedulers.length)): Received {
+  sendRequest (call: Call, instance = this.random.below(this.schedulers.length)): CallerResult {
     const scheduler = this.schedulers[instance] as Scheduler
     const job = this.createJob(call)
-    const received: Received = { job, state: 'open', firstTokenMs: Infinity, endMs: Infinity, sends: 0, cachedTokens: 0, failure: undefined, servers: [] }
-    this.received.push(received)
-    this.byId.set(job.id, { received, answerTokens: call.answerTokens ?? 16, scheduler })
-    scheduler.offer(job, this.now).ifLeft(failure => this.end(received, 'refused', failure))
-    return received
+    const result: CallerResult = { job, state: 'open', firstTokenMs: Infinity, endMs: Infinity, sends: 0, cachedTokens: 0, failure: undefined, servers: [] }
+    this.results.push(result)
+    this.byId.set(job.id, { result, answerTokens: call.answerTokens ?? 16, scheduler })
+    scheduler.submitJob(job, this.now).ifLeft(failure => this.endCall(result, 'refused', failure))
+    return result
   }
 
   private createJob (call: Call): Job {
-    const id = `job-${this.received.length}`
+    const id = `job-${this.results.length}`
     const account = call.account ?? 'account-1'
     const prefixTokens = call.prefixTokens ?? 2048
     const promptTokens = call.promptTokens ?? prefixTokens + 128
@@ -120,83 +120,83 @@
     }
   }
 
-  /** Moves time on; `each` is called at every step, to bring arrivals. */
+  /** Advances the time; `each` is called at every step, to send new requests. */
   run (milliseconds: number, each: () => void = () => {}): void {
     for (const until = this.now + milliseconds; this.now < until; this.now += STEP_MS) {
       each()
       this.schedulers.forEach(scheduler => this.tick(scheduler))
-      this.servers.forEach(server => this.stepOne(server))
-      this.report()
+      this.servers.forEach(server => this.stepOneServer(server))
+      this.deliverReports()
     }
   }
 
-  /** Open-loop arrivals at a rate, drawn from the seed. */
-  arrive (requestsPerSecond: number, call: () => Call): () => void {
+  /** Returns a step function for open-loop arrivals at the rate, drawn from the seed. */
+  createArrivals (requestsPerSecond: number, call: () => Call): () => void {
     return () => {
       for (let chance = requestsPerSecond * STEP_MS / 1000; this.random.next() < chance; chance -= 1) {
-        this.call(call())
+        this.sendRequest(call())
       }
     }
   }
 
-  /** The server loses what runs there; callers' jobs fail as the router would say. */
-  crash (server: FakeServer): void {
-    for (const run of crash(server)) {
-      this.fail(run.job, Failure.create(FailureCode.ConnectionLost, Verdict.MayHaveRun, 'crashed'))
+  /** Crashes the server; the jobs that it had fail with the failure that the router would report. */
+  crashServer (server: FakeServer): void {
+    for (const run of restartEmpty(server)) {
+      this.failAttempt(run.job, Failure.create(FailureCode.ConnectionLost, Verdict.MayHaveRun, 'crashed'))
     }
   }
 
   private tick (scheduler: Scheduler): void {
     const { assignments, refusals } = scheduler.tick(this.now)
     for (const { jobId, failure } of refusals) {
-      this.end(this.find(jobId), 'refused', failure)
+      this.endCall(this.findResult(jobId), 'refused', failure)
     }
     for (const { jobId, server: name } of assignments) {
       const server = this.servers.find(server => server.name === name) as FakeServer
-      const received = this.find(jobId)
-      received.sends += 1
-      received.servers.push(name)
-      if (server.down) {
-        this.fail(received.job, Failure.notRun(FailureCode.ConnectionRefused, 'down'))
+      const result = this.findResult(jobId)
+      result.sends += 1
+      result.servers.push(name)
+      if (server.isDown) {
+        this.failAttempt(result.job, Failure.notRun(FailureCode.ConnectionRefused, 'down'))
       } else {
-        submit(server, received.job, this.byId.get(jobId)?.answerTokens ?? 16)
+        enqueue(server, result.job, this.byId.get(jobId)?.answerTokens ?? 16)
       }
     }
   }
 
-  private stepOne (server: FakeServer): void {
-    if (server.running.some(({ job }) => this.poison.has(job.fingerprint))) {
-      this.crash(server)
+  private stepOneServer (server: FakeServer): void {
+    if (server.running.some(({ job }) => this.crashingFingerprints.has(job.fingerprint))) {
+      this.crashServer(server)
     }
     stepServer(server, STEP_MS, this.now, {
-      started: run => this.schedulerOf(run).started(run.job.id, { ...this.counts(run), streamId: '', incarnation: `${server.name}-${server.incarnation}`, weightsVersion: 'v1' }, this.now),
+      started: run => this.schedulerOf(run).recordStart(run.job.id, { ...this.tokenCounts(run), streamId: '', incarnation: `${server.name}-${server.incarnation}`, weightsVersion: 'v1' }, this.now),
       firstToken: run => {
-        const received = this.find(run.job.id)
-        received.firstTokenMs = this.now - run.job.arrivedAt
-        received.cachedTokens = run.cachedTokens
-        this.schedulerOf(run).firstToken(run.job.id, this.now)
+        const result = this.findResult(run.job.id)
+        result.firstTokenMs = this.now - run.job.arrivedAt
+        result.cachedTokens = run.cachedTokens
+        this.schedulerOf(run).recordFirstToken(run.job.id, this.now)
       },
       finished: run => {
-        this.schedulerOf(run).finished(run.job.id, { ...this.counts(run), finishReason: 'stop', completionTokens: this.byId.get(run.job.id)?.answerTokens ?? 0 }, this.now)
-        this.end(this.find(run.job.id), 'answered')
+        this.schedulerOf(run).recordFinish(run.job.id, { ...this.tokenCounts(run), finishReason: 'stop', completionTokens: this.byId.get(run.job.id)?.answerTokens ?? 0 }, this.now)
+        this.endCall(this.findResult(run.job.id), 'answered')
       }
     })
   }
 
-  private counts ({ job, cachedTokens }: FakeRun): { promptTokens: number, cachedTokens: number } {
+  private tokenCounts ({ job, cachedTokens }: FakeRun): { promptTokens: number, cachedTokens: number } {
     return { promptTokens: job.promptTokens, cachedTokens }
   }
 
-  private report (): void {
-    if (this.now % REPORT_EVERY_MS === 0) {
-      this.servers.filter(({ down }) => !down).forEach(server => this.reportOne(server))
+  private deliverReports (): void {
+    if (this.now % REPORT_INTERVAL_MS === 0) {
+      this.servers.filter(({ isDown }) => !isDown).forEach(server => this.queueReport(server))
     }
-    while (this.lateReports[0] && this.lateReports[0].at <= this.now) {
-      this.lateReports.shift()?.deliver()
+    while (this.delayedReports[0] && this.delayedReports[0].at <= this.now) {
+      this.delayedReports.shift()?.deliver()
     }
   }
 
-  private reportOne (server: FakeServer): void {
+  private queueReport (server: FakeServer): void {
     const report = {
       incarnation: `${server.name}-${server.incarnation}`,
       weightsVersion: 'v1',
@@ -207,24 +207,24 @@
       leaving: false,
       madeAt: this.now
     }
-    this.lateReports.push({ at: this.now + REPORT_LATE_MS, deliver: () => this.schedulers.forEach(scheduler => scheduler.observeLoad(server.name, report, this.now)) })
+    this.delayedReports.push({ at: this.now + REPORT_DELAY_MS, deliver: () => this.schedulers.forEach(scheduler => scheduler.applyLoadReport(server.name, report, this.now)) })
   }
 
-  private fail (job: Job, failure: Failure): void {
-    const { received, scheduler } = this.byId.get(job.id) as { received: Received, scheduler: Scheduler }
-    if (scheduler.failed(job.id, failure, this.now) === Sequel.GivenUp) {
-      this.end(received, 'failed', failure)
+  private failAttempt (job: Job, failure: Failure): void {
+    const { result, scheduler } = this.byId.get(job.id) as { result: CallerResult, scheduler: Scheduler }
+    if (scheduler.recordFailure(job.id, failure, this.now) === FailureOutcome.Failed) {
+      this.endCall(result, 'failed', failure)
     }
   }
 
-  private end (received: Received, state: Received['state'], failure?: Failure): void {
-    received.state = state
-    received.failure = failure
-    received.endMs = this.now - received.job.arrivedAt
+  private endCall (result: CallerResult, state: CallerResult['state'], failure?: Failure): void {
+    result.state = state
+    result.failure = failure
+    result.endMs = this.now - result.job.arrivedAt
   }
 
-  private find (jobId: string): Received {
-    return this.byId.get(jobId)?.received as Received
+  private findResult (jobId: string): CallerResult {
+    return this.byId.get(jobId)?.result as CallerResult
   }
 
   private schedulerOf ({ job }: FakeRun): Scheduler {
@@ -232,12 +232,12 @@
   }
 }
 
-/** The value below which the share of the answered callers' first tokens came, milliseconds. */
-export function quantile (received: readonly Received[], share: number): number {
-  const times = received.filter(({ state }) => state === 'answered').map(({ firstTokenMs }) => firstTokenMs).sort((one, other) => one - other)
+/** Quantile of the times to first token of the answered callers, milliseconds. */
+export function firstTokenQuantile (results: readonly CallerResult[], share: number): number {
+  const times = results.filter(({ state }) => state === 'answered').map(({ firstTokenMs }) => firstTokenMs).sort((a, b) => a - b)
   return times[Math.min(times.length - 1, Math.floor(times.length * share))] ?? Infinity
 }
 
-export function answered (received: readonly Received[]): Received[] {
-  return received.filter(({ state }) => state === 'answered')
+export function selectAnswered (results: readonly CallerResult[]): CallerResult[] {
+  return results.filter(({ state }) => state === 'answered')
 }
--- a/packages/foxtaillever-policy/src/__fixtures__/fakeServers.ts
+++ b/packages/foxtaillever-policy/src/__fixtures__/fakeServers.ts
@@ -1,7 +1,7 @@
 /**
- * A few backend servers as the decisions meet them: slots, one prefill at a
- * time, decode side by side, a cache that forgets, a report that is late. Moved
- * in steps; enough to see what callers receive, and no more.
+ * A simple model of backend servers: slots, one prefill at a time, parallel
+ * decoding, and a cache that drops unused prefixes. It advances in steps and is
+ * just detailed enough to show what callers receive.
  */
 import { PriorityClass } from 'foxtaillever-core'
 import type { Job } from '../job.js'
@@ -11,10 +11,10 @@
   slots: number
   prefillTokensPerMs: number
   decodeTokensPerMs: number
-  /** Times slower than configured. */
+  /** How many times slower than configured. */
   slowness: number
   /** Refuses connections. */
-  down: boolean
+  isDown: boolean
   incarnation: number
   readonly cache: Map<string, number>
   waiting: FakeRun[]
@@ -29,22 +29,22 @@
   hasToken: boolean
 }
 
-/** What one step of a server brought; the driver passes it on. */
+/** Listeners for what happens in one step of a server. */
 export interface FakeEvents {
   started: (run: FakeRun) => void
   firstToken: (run: FakeRun) => void
   finished: (run: FakeRun) => void
 }
 
-/** Cached prefixes unused for this long are gone, milliseconds. */
-const CACHE_KEPT_MS = 8000
+/** Cached prefixes are dropped after this time without use, milliseconds. */
+const CACHE_RETENTION_MS = 8000
 
 export function createFakeServer (name: string): FakeServer {
-  return { name, slots: 8, prefillTokensPerMs: 20, decodeTokensPerMs: 0.06, slowness: 1, down: false, incarnation: 1, cache: new Map(), waiting: [], running: [] }
+  return { name, slots: 8, prefillTokensPerMs: 20, decodeTokensPerMs: 0.06, slowness: 1, isDown: false, incarnation: 1, cache: new Map(), waiting: [], running: [] }
 }
 
 function matchCache (server: FakeServer, job: Job, now: number): number {
-  const hits = job.levels.filter(({ hash }) => now - (server.cache.get(`${job.account}/${hash}`) ?? -Infinity) < CACHE_KEPT_MS)
+  const hits = job.levels.filter(({ hash }) => now - (server.cache.get(`${job.account}/${hash}`) ?? -Infinity) < CACHE_RETENTION_MS)
   return hits.at(-1)?.tokens ?? 0
 }
 
@@ -52,15 +52,15 @@
   job.levels.forEach(({ hash }) => server.cache.set(`${job.account}/${hash}`, now))
 }
 
-export function submit (server: FakeServer, job: Job, answerTokens: number): void {
+export function enqueue (server: FakeServer, job: Job, answerTokens: number): void {
   const run = { job, prefillLeft: 0, decodeLeft: answerTokens, cachedTokens: 0, hasToken: false }
-  // Engines honour priorities among what waits.
+  // Engines run waiting priority requests before others.
   const before = job.priority === PriorityClass.Priority ? server.waiting.findIndex(other => other.job.priority !== PriorityClass.Priority) : -1
   server.waiting.splice(before < 0 ? server.waiting.length : before, 0, run)
 }
 
-/** Everything in flight is lost; the server comes back empty. */
-export function crash (server: FakeServer): FakeRun[] {
+/** Restarts the server empty; returns the runs that were lost. */
+export function restartEmpty (server: FakeServer): FakeRun[] {
   const lost = [...server.running, ...server.waiting]
   server.incarnation += 1
   server.cache.clear()
@@ -79,9 +79,9 @@
   }
   let prefill = stepMs * server.prefillTokensPerMs / server.slowness
   for (const run of [...server.running]) {
-    const done = Math.min(prefill, run.prefillLeft)
-    run.prefillLeft -= done
-    prefill -= done
+    const prefilled = Math.min(prefill, run.prefillLeft)
+    run.prefillLeft -= prefilled
+    prefill -= prefilled
     if (run.prefillLeft <= 0) {
       decode(server, run, stepMs, now, events)
     }
--- a/packages/foxtaillever-policy/src/__tests__/bounds.test.ts
+++ b/packages/foxtaillever-policy/src/__tests__/bounds.test.ts
@@ -21,7 +21,7 @@
   }
 }
 
-function createEntry (id: string, account: string, priority: PriorityClass, cost: number, weight: number): WaitingJob {
+function createWaitingJob (id: string, account: string, priority: PriorityClass, cost: number, weight: number): WaitingJob {
   return { job: createJob(id, { account, priority }), cost, decodeMs: cost, tokens: cost, weight, latestStart: Infinity, failedAt: [], attempts: 0, notBefore: 0, holdUntil: Infinity, gone: false, turn: 0, sequence: 0 }
 }
 
@@ -44,7 +44,7 @@
       const account = fc.record({ weight: fc.integer({ min: 1, max: 8 }), costs: fc.array(fc.integer({ min: 1, max: 50 }), { minLength: 200, maxLength: 200 }) })
       fc.assert(fc.property(fc.array(account, { minLength: 2, maxLength: 5 }), accounts => {
         const queue = FairQueue.create()
-        accounts.forEach(({ weight, costs }, index) => costs.forEach((cost, job) => queue.add(createEntry(`${index}-${job}`, `account-${index}`, PriorityClass.Standard, cost, weight))))
+        accounts.forEach(({ weight, costs }, index) => costs.forEach((cost, job) => queue.add(createWaitingJob(`${index}-${job}`, `account-${index}`, PriorityClass.Standard, cost, weight))))
         const served = accounts.map(() => 0)
         for (let turn = 0; turn < 150; turn += 1) {
           const entry = serveNext(queue) as WaitingJob
@@ -58,13 +58,13 @@
       t.pass()
     })
 
-    // Priority work that never ends would keep the other classes waiting until
-    // their deadlines, while the fleet is busy all the time.
+    // Endless priority work would keep the other classes waiting until their
+    // deadlines.
     it('gives the lower classes the floor while all wait, and hardly more', t => {
       fc.assert(fc.property(fc.double({ min: 0.05, max: 0.4, noNaN: true }), fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 300, maxLength: 300 }), (floor, costs) => {
         const queue = FairQueue.create()
         queue.setFloorShare(floor)
-        classes.forEach(priority => costs.forEach((cost, job) => queue.add(createEntry(`${priority}-${job}`, 'account', priority, cost, 1))))
+        classes.forEach(priority => costs.forEach((cost, job) => queue.add(createWaitingJob(`${priority}-${job}`, 'account', priority, cost, 1))))
         const served = new Map(classes.map(priority => [priority, 0]))
         let total = 0
         for (let turn = 0; turn < 280; turn += 1) {
@@ -78,11 +78,11 @@
       t.pass()
     })
 
-    it('starves nobody: every job taken in is served', t => {
+    it('starves no account: every accepted job is served', t => {
       fc.assert(fc.property(fc.array(fc.tuple(fc.constantFrom(...classes), fc.integer({ min: 0, max: 4 }), fc.integer({ min: 1, max: 30 })), { maxLength: 80 }), jobs => {
         const queue = FairQueue.create()
         queue.setFloorShare(0.1)
-        jobs.forEach(([priority, account, cost], index) => queue.add(createEntry(String(index), `account-${account}`, priority, cost, 1)))
+        jobs.forEach(([priority, account, cost], index) => queue.add(createWaitingJob(String(index), `account-${account}`, priority, cost, 1)))
         const served = new Set(jobs.map(() => serveNext(queue)?.job.id))
         return served.size === jobs.length && queue.size === 0
       }), RUNS)
@@ -90,10 +90,10 @@
     })
   })
 
-  describe('servers set aside', () => {
-    // Comparing with peers can go wrong, too. Were most servers set aside, the few
-    // that are left would be buried.
-    it('are at most the stated share, whatever their answers', t => {
+  describe('ejected servers', () => {
+    // The comparison with peers can be wrong. If most servers were ejected, the
+    // remaining ones would be overloaded.
+    it('are at most the configured share, whatever their answers', t => {
       fc.assert(fc.property(fc.array(fc.double({ min: 0.1, max: 1000, noNaN: true }), { minLength: 1, maxLength: 30 }), fc.double({ min: 0, max: 1, noNaN: true }), (ratios, share) => {
         const servers = createServers(ratios.length)
         for (let round = 0; round < 5; round += 1) {
@@ -108,18 +108,19 @@
   })
 
   describe('retries', () => {
-    // Every try fails. What the servers see must stay near what callers asked for.
-    it('stay within the share of first tries and what was saved', t => {
+    // Every attempt fails. The servers must not get many more attempts than there
+    // are requests.
+    it('stay within the share of first attempts and the saved budget', t => {
       fc.assert(fc.property(fc.integer({ min: 1, max: 300 }), fc.double({ min: 0, max: 0.5, noNaN: true }), fc.integer({ min: 0, max: 1000 }), (count, retryShare, seed) => {
         const scheduler = Scheduler.create({ random: SeededRandom.create(seed), failureDomain: 'domain-1' })
         scheduler.configure(createTestConfiguration({ preset: { retryShare } }), NOW)
         let sends = 0
         const fail = (now: number): void => scheduler.tick(now).assignments.forEach(({ jobId }) => {
           sends += 1
-          scheduler.failed(jobId, Failure.notRun(FailureCode.ConnectionRefused, 'down'), now)
+          scheduler.recordFailure(jobId, Failure.notRun(FailureCode.ConnectionRefused, 'down'), now)
         })
         for (let index = 0; index < count; index += 1) {
-          scheduler.offer(createJob(String(index)), NOW + index)
+          scheduler.submitJob(createJob(String(index)), NOW + index)
           fail(NOW + index)
         }
         for (let later = count; later < count + 5000; later += 50) {
@@ -130,23 +131,23 @@
       t.pass()
     })
 
-    // A feed order whose connection broke may have been taken. Sent again, it would
-    // be billed twice.
+    // A feed order whose connection broke may have been executed. A retry would
+    // bill it twice.
     it('never happen to a non-idempotent job that may have run', t => {
       fc.assert(fc.property(fc.constantFrom(...Object.values(Verdict)), fc.boolean(), (verdict, idempotent) => {
         const scheduler = Scheduler.create({ random: SeededRandom.create(1), failureDomain: 'domain-1' })
         scheduler.configure(createTestConfiguration({}), NOW)
-        scheduler.offer(createJob('one', { idempotent }), NOW)
+        scheduler.submitJob(createJob('one', { idempotent }), NOW)
         scheduler.tick(NOW)
-        const sequel = scheduler.failed('one', Failure.create(FailureCode.ConnectionLost, verdict, 'lost'), NOW + 1)
-        return (sequel === 'retried') === (verdict === Verdict.NotRun || idempotent)
+        const outcome = scheduler.recordFailure('one', Failure.create(FailureCode.ConnectionLost, verdict, 'lost'), NOW + 1)
+        return (outcome === 'retried') === (verdict === Verdict.NotRun || idempotent)
       }), RUNS)
       t.pass()
     })
   })
 
   describe('agreement', () => {
-    it('ranks servers the same in any order, and a server that goes moves only its own keys', t => {
+    it('ranks servers the same in any order, and removing a server moves only its own keys', t => {
       fc.assert(fc.property(fc.integer({ min: 0, max: 2 ** 32 - 1 }), fc.integer({ min: 2, max: 40 }), (key, count) => {
         const servers = createServers(count)
         const names = (among: readonly Server[], length: number): string[] => rankServers(key, among, length).map(({ name }) => name)
@@ -158,18 +159,18 @@
     })
 
     it('decides the same from the same calls', t => {
-      const step = fc.tuple(fc.constantFrom('offer', 'finish', 'fail', 'tick', 'withdraw'), fc.integer({ min: 0, max: 40 }))
+      const step = fc.tuple(fc.constantFrom('submit', 'finish', 'fail', 'tick', 'withdraw'), fc.integer({ min: 0, max: 40 }))
       fc.assert(fc.property(fc.array(step, { maxLength: 150 }), fc.integer({ min: 0, max: 1000 }), (steps, seed) => {
-        const [first, second] = [1, 2].map(() => replay(steps, seed))
+        const [first, second] = [1, 2].map(() => replaySteps(steps, seed))
         return first === second
       }), RUNS)
       t.pass()
     })
 
-    it('answers each job once: sent, refused or still waiting', t => {
-      const step = fc.tuple(fc.constantFrom('offer', 'finish', 'fail', 'tick', 'withdraw'), fc.integer({ min: 0, max: 40 }))
+    it('counts as running exactly the jobs outstanding at servers', t => {
+      const step = fc.tuple(fc.constantFrom('submit', 'finish', 'fail', 'tick', 'withdraw'), fc.integer({ min: 0, max: 40 }))
       fc.assert(fc.property(fc.array(step, { maxLength: 150 }), fc.integer({ min: 0, max: 1000 }), (steps, seed) => {
-        const { running, waiting, outstanding } = (JSON.parse(replay(steps, seed)) as { state: ReturnType<Scheduler['dump']> }).state
+        const { running, waiting, outstanding } = (JSON.parse(replaySteps(steps, seed)) as { state: ReturnType<Scheduler['dump']> }).state
         return running >= 0 && waiting >= 0 && Object.values(outstanding).reduce((sum, count) => sum + count, 0) === running
       }), RUNS)
       t.pass()
@@ -177,8 +178,8 @@
   })
 })
 
-/** Makes the calls on a fresh scheduler and tells all it decided. */
-function replay (steps: ReadonlyArray<[string, number]>, seed: number): string {
+/** Makes the calls on a new scheduler and returns its decisions and state as JSON. */
+function replaySteps (steps: ReadonlyArray<[string, number]>, seed: number): string {
   const scheduler = Scheduler.create({ random: SeededRandom.create(seed), failureDomain: 'domain-1' })
   const configuration: Configuration = createTestConfiguration({ servers: 3 })
   scheduler.configure({ ...configuration, presets: { ...configuration.presets, [PresetName.OrdinaryDays]: createPreset(PresetName.OrdinaryDays) } }, NOW)
@@ -188,15 +189,15 @@
     const id = `job-${number}`
     const start = { streamId: '', incarnation: 'one', weightsVersion: 'v1', promptTokens: 600, cachedTokens: 0 }
     const actions: Record<string, () => unknown> = {
-      offer: () => scheduler.offer(createJob(`job-${index}`), now).isRight(),
+      submit: () => scheduler.submitJob(createJob(`job-${index}`), now).isRight(),
       finish: () => {
-        scheduler.started(id, start, now)
-        scheduler.firstToken(id, now)
-        scheduler.finished(id, { finishReason: 'stop', promptTokens: 600, cachedTokens: 0, completionTokens: 16 }, now)
+        scheduler.recordStart(id, start, now)
+        scheduler.recordFirstToken(id, now)
+        scheduler.recordFinish(id, { finishReason: 'stop', promptTokens: 600, cachedTokens: 0, completionTokens: 16 }, now)
       },
-      fail: () => scheduler.failed(id, Failure.notRun(FailureCode.ConnectionRefused, 'down'), now),
+      fail: () => scheduler.recordFailure(id, Failure.notRun(FailureCode.ConnectionRefused, 'down'), now),
       tick: () => scheduler.tick(now),
-      withdraw: () => scheduler.withdraw(id)
+      withdraw: () => scheduler.withdrawJob(id)
     }
     decisions.push(actions[kind]?.())
   })
--- a/packages/foxtaillever-policy/src/__tests__/serviceLimiter.test.ts
+++ b/packages/foxtaillever-policy/src/__tests__/serviceLimiter.test.ts
@@ -32,9 +32,9 @@
   return { gate, call }
 }
 
-describe('the gate of plain services', () => {
-  // Exports stall, and their calls pile up. A partner who looks up a citation
-  // must not wait for them.
+describe('the limiter of plain services', () => {
+  // Exports stall and their calls pile up. Citation lookups must not wait for
+  // them.
   it('serves one service while another is stalled', t => {
     const { call } = createGate()
     const exports = Array.from({ length: 20 }, (_, index) => call(`export-${index}`, 'exports'))
@@ -43,7 +43,7 @@
     t.true(call('lookup', 'lookups').isServed)
   })
 
-  it('hands a free place to the one that waited longest', t => {
+  it('grants a freed slot to the call that has waited longest', t => {
     const { gate, call } = createGate()
     const calls = Array.from({ length: 6 }, (_, index) => call(String(index), 'lookups'))
     t.deepEqual(calls.map(({ isServed }) => isServed), [true, true, true, true, false, false])
@@ -52,9 +52,9 @@
     t.false(calls[5]?.isServed)
   })
 
-  // The service hangs. A call that waits for it gets its answer at its deadline,
-  // not when the service comes back.
-  it('refuses a waiting call at its deadline, and one that cannot make it at once', t => {
+  // The service hangs. A waiting call is refused at its deadline, not only when
+  // the service recovers.
+  it('refuses a waiting call at its deadline, and at once when it cannot be served by then', t => {
     const { gate, call } = createGate()
     const calls = Array.from({ length: 5 }, (_, index) => call(String(index), 'lookups', NOW + 100))
     gate.tick(NOW + 100)
@@ -65,9 +65,9 @@
     t.true((late.retryAt ?? 0) > NOW)
   })
 
-  // The instance is stopped while calls wait for their turn. Their callers hear
-  // at once that they can go elsewhere, not that the connection was cut.
-  it('refuses all that wait at a shutdown', t => {
+  // The instance is stopped while calls wait. Their callers must get a refusal at
+  // once, so that they can retry at another instance, instead of a cut connection.
+  it('refuses all waiting calls at a shutdown', t => {
     const { gate, call } = createGate()
     const calls = Array.from({ length: 6 }, (_, index) => call(String(index), 'lookups'))
     gate.refuseAll(Failure.notRun(FailureCode.Leaving, 'leaving'))
--- a/packages/foxtaillever-policy/src/__tests__/sharedKnowledge.test.ts
+++ b/packages/foxtaillever-policy/src/__tests__/sharedKnowledge.test.ts
@@ -10,9 +10,10 @@
 
 describe('what instances share', () => {
   describe('the share of a limit', () => {
-    // The balancer sends nearly all of an account's requests to one of ten
-    // instances. With an even share the account is refused at a tenth of its limit.
-    it('follows demand, and is even while the peers are silent', t => {
+    // The load balancer sends nearly all of an account's requests to one of ten
+    // instances. With an even share, the account would be refused at a tenth of its
+    // limit.
+    it('follows demand, and is even while no peer has announced its demand', t => {
       const share = DemandShare.create()
       share.observeInstances(2)
       share.demand('coop', 900, NOW)
@@ -22,7 +23,7 @@
       t.is(share.shareFor('coop', NOW + 3000), 0.5)
     })
 
-    it('leaves room for instances that were not heard of', t => {
+    it('leaves room for instances that have not announced their demand', t => {
       const share = DemandShare.create()
       share.observeInstances(4)
       share.demand('coop', 900, NOW)
@@ -30,7 +31,7 @@
       t.is(share.shareFor('coop', NOW), 0.5)
     })
 
-    it('tells peers only of accounts near their limit', t => {
+    it('is announced to peers only for accounts near their limit', t => {
       const share = DemandShare.create()
       share.observeInstances(2)
       share.demand('coop', 5000, NOW)
@@ -40,7 +41,7 @@
   })
 
   describe('the limits of an account', () => {
-    it('refuse until the time they tell', t => {
+    it('refuse until the stated retry time', t => {
       const limits = AccountLimits.create(DemandShare.create())
       t.is(limits.check(account, 100, NOW), undefined)
       limits.take('coop', 3000)
@@ -52,7 +53,7 @@
       t.is(limits.check(account, 100, retryAt), undefined)
     })
 
-    it('count requests at once, and give back what was not used', t => {
+    it('count concurrent requests, and refund unused tokens', t => {
       const limits = AccountLimits.create(DemandShare.create())
       for (let index = 0; index < 4; index += 1) {
         t.is(limits.check(account, 100, NOW), undefined)
@@ -65,9 +66,9 @@
   })
 
   describe('suspects', () => {
-    // The network between a router and one server is cut for a moment, twice. All
-    // requests in flight look as if they had crashed it, and none did.
-    it('are cleared when the same engine is still there', t => {
+    // The network between a router and two servers fails for a moment. The requests
+    // in flight look as if they had crashed the servers, but none did.
+    it('are cleared when the same engine is still running', t => {
       const suspects = SuspectTable.create()
       suspects.accuse('one', 'server-1', 'a', NOW)
       suspects.accuse('one', 'server-2', 'b', NOW + 10)
@@ -80,18 +81,18 @@
       t.is(suspects.suspicionOf('one', NOW + 1200), Suspicion.None)
     })
 
-    // The caller sends the poison request through another instance each time.
-    it('are the same for all instances, in whatever order they hear of them', t => {
-      const [one, other] = [SuspectTable.create(), SuspectTable.create()]
-      one.accuse('bad', 'server-1', 'a', NOW)
-      other.accuse('bad', 'server-2', 'b', NOW)
-      const facts = [...one.toShare(NOW), ...other.toShare(NOW)]
-      one.observe(facts, NOW)
-      other.observe([...facts].reverse(), NOW)
-      one.observe(facts, NOW)
-      t.is(one.suspicionOf('bad', NOW), Suspicion.Quarantined)
-      t.is(other.suspicionOf('bad', NOW), Suspicion.Quarantined)
-      t.is(one.suspicionOf('bad', NOW + 600_000), Suspicion.None)
+    // The caller sends the crashing request through another instance each time.
+    it('are the same for all instances, in whatever order they receive the facts', t => {
+      const [first, second] = [SuspectTable.create(), SuspectTable.create()]
+      first.accuse('bad', 'server-1', 'a', NOW)
+      second.accuse('bad', 'server-2', 'b', NOW)
+      const facts = [...first.toShare(NOW), ...second.toShare(NOW)]
+      first.observe(facts, NOW)
+      second.observe([...facts].reverse(), NOW)
+      first.observe(facts, NOW)
+      t.is(first.suspicionOf('bad', NOW), Suspicion.Quarantined)
+      t.is(second.suspicionOf('bad', NOW), Suspicion.Quarantined)
+      t.is(first.suspicionOf('bad', NOW + 600_000), Suspicion.None)
     })
   })
 })
--- a/packages/foxtaillever-policy/src/admission/costEstimator.ts
+++ b/packages/foxtaillever-policy/src/admission/costEstimator.ts
@@ -74,7 +74,7 @@
 
   recordAnswer (job: Job, end: StreamEnd): void {
     const key = this.keyOf(job)
-    const means = this.usage.use(key) ?? { cached: MovingMean.create(CACHED_PRIOR, USAGE_GAIN), completion: MovingMean.create(COMPLETION_PRIOR, USAGE_GAIN) }
+    const means = this.usage.get(key) ?? { cached: MovingMean.create(CACHED_PRIOR, USAGE_GAIN), completion: MovingMean.create(COMPLETION_PRIOR, USAGE_GAIN) }
     means.cached.add(end.cachedTokens / Math.max(1, end.promptTokens))
     means.completion.add(Math.min(1, end.completionTokens / Math.max(1, job.maxTokens)))
     this.usage.set(key, means)
--- a/packages/foxtaillever-policy/src/bench/decisionCost.ts
+++ b/packages/foxtaillever-policy/src/bench/decisionCost.ts
@@ -1,5 +1,5 @@
 /**
- * Prints what one decision costs at the size to design for. Run it with
+ * Prints the time of one decision at the size that the system is designed for. Run it with
  * `node packages/foxtaillever-policy/dist/bench/decisionCost.js`.
  */
 import { performance } from 'node:perf_hooks'
@@ -52,13 +52,13 @@
   }
 }
 
-/** A job whose prompt has that many cached blocks; only its levels are looked at. */
+/** A job whose prompt has that many cache blocks; decisions read only its levels. */
 function createJob (id: number, blocks: number, random: SeededRandom, now: number): Job {
   const account = random.below(ACCOUNTS)
   const promptTokens = blocks * TOKENS_PER_BLOCK
   const level = (name: string, share: number): PrefixLevel => ({ hash: name, tokens: Math.ceil(promptTokens * share) })
   const catalogue = random.below(4)
-  // An account uses two models; which prefixes this instance met before is left to chance.
+  // An account uses two models; which prefixes the instance already knows is random.
   const model = (account + random.below(2)) % MODELS
   return {
     id: String(id),
@@ -81,8 +81,8 @@
   readonly p99Us: number
 }
 
-/** Times offer and tick together; steps of the answer are counted in as well. */
-function measure (blocks: number): Cost {
+/** Times `submitJob` and `tick` together; recording the answers is not timed. */
+function measureDecisions (blocks: number): Cost {
   const random = SeededRandom.create(SEED)
   const scheduler = Scheduler.create({ random, failureDomain: 'domain-0' })
   scheduler.configure(createBenchConfiguration(), 0)
@@ -92,31 +92,31 @@
     const now = index
     const job = createJob(index, blocks, random, now)
     const start = performance.now()
-    scheduler.offer(job, now)
+    scheduler.submitJob(job, now)
     scheduler.tick(now)
     const elapsedUs = (performance.now() - start) * 1000
     running.push(job)
     if (running.length > IN_FLIGHT) {
-      finish(scheduler, running.shift() as Job, now)
+      recordAnswer(scheduler, running.shift() as Job, now)
     }
     if (index >= WARM_UP) {
       times.push(elapsedUs)
     }
   }
-  times.sort((one, other) => one - other)
-  const at = (share: number): number => times[Math.floor(times.length * share)] as number
-  return { meanUs: times.reduce((sum, time) => sum + time, 0) / times.length, p50Us: at(0.5), p99Us: at(0.99) }
+  times.sort((a, b) => a - b)
+  const quantile = (share: number): number => times[Math.floor(times.length * share)] as number
+  return { meanUs: times.reduce((sum, time) => sum + time, 0) / times.length, p50Us: quantile(0.5), p99Us: quantile(0.99) }
 }
 
-function finish (scheduler: Scheduler, job: Job, now: number): void {
+function recordAnswer (scheduler: Scheduler, job: Job, now: number): void {
   const cachedTokens = job.levels[1]?.tokens ?? 0
-  scheduler.started(job.id, { streamId: '', incarnation: 'one', weightsVersion: 'v1', promptTokens: job.promptTokens, cachedTokens }, now)
-  scheduler.firstToken(job.id, now)
-  scheduler.finished(job.id, { finishReason: 'stop', promptTokens: job.promptTokens, cachedTokens, completionTokens: 50 }, now)
+  scheduler.recordStart(job.id, { streamId: '', incarnation: 'one', weightsVersion: 'v1', promptTokens: job.promptTokens, cachedTokens }, now)
+  scheduler.recordFirstToken(job.id, now)
+  scheduler.recordFinish(job.id, { finishReason: 'stop', promptTokens: job.promptTokens, cachedTokens, completionTokens: 50 }, now)
 }
 
-console.log(`${SERVERS} servers, ${ACCOUNTS} accounts, ${MODELS} models, ${DECISIONS} decisions (offer and tick) each`)
+console.log(`${SERVERS} servers, ${ACCOUNTS} accounts, ${MODELS} models, ${DECISIONS} decisions (submit and tick) each`)
 for (const blocks of [16, 256, 4096, 65_536]) {
-  const { meanUs, p50Us, p99Us } = measure(blocks)
+  const { meanUs, p50Us, p99Us } = measureDecisions(blocks)
   console.log(`${String(blocks).padStart(6)} blocks in the prompt: mean ${meanUs.toFixed(1)} us, p50 ${p50Us.toFixed(1)} us, p99 ${p99Us.toFixed(1)} us`)
 }
--- a/packages/foxtaillever-policy/src/bench/engineFleet.ts
+++ b/packages/foxtaillever-policy/src/bench/engineFleet.ts
@@ -1,15 +1,15 @@
 /**
- * A fleet of instances before engines, in steps of a millisecond: what callers
- * wait for their first token by how instances learn of each other's load.
- * Engines read one prompt after another, keep what they read until it yields to
- * newer prompts, and fetch what they lack.
+ * Simulates a fleet of instances and engines in steps of a millisecond, to
+ * measure how long callers wait for their first token, depending on how instances
+ * learn of each other's load. Engines prefill one prompt after another, cache
+ * levels until newer ones evict them, and fetch missing levels from the store.
  */
 import { exponential, SeededRandom } from 'foxtaillever-core'
 import { mixHashes } from '../placement/rendezvous.js'
 import { rankOffers, type ServerOffer } from '../relay/placeExchange.js'
 import { fadeLoad, noLoad, type ServerLoad } from '../relay/serverLoad.js'
 import { isToYield } from '../relay/yieldPriority.js'
-import { Knowledge, type FleetOutcome, type FleetShape } from './fleetShape.js'
+import { LoadKnowledge, type FleetOutcome, type FleetShape } from './fleetShape.js'
 
 interface Request {
   readonly key: number
@@ -19,11 +19,11 @@
   readonly at: number
   readonly instance: number
   readonly engine: number
-  /** When its shared level is there. */
+  /** When the shared level is available at the engine. */
   readonly readyAt: number
   readonly isYielding: boolean
   hasBegun: boolean
-  unread: number
+  tokensLeft: number
   endAt: number
 }
 
@@ -31,102 +31,102 @@
   readonly offer: ServerOffer
   readonly queue: Request[]
   readonly running: Request[]
-  /** Kept levels, the least recently used first. */
-  readonly kept: Map<number, number>
-  begun: number
+  /** Cached levels, the least recently used first. */
+  readonly cachedLevels: Map<number, number>
+  startedCount: number
 }
 
-const MS = 8_000
+const DURATION_MS = 8_000
 const TOKENS_PER_MS = 110
-/** Moving a large request's shared level, milliseconds. */
+/** Time to fetch a large request's shared level, milliseconds. */
 const FETCH_MS = 27
-/** A fetch that would wait longer is not begun. */
-const MOST_LINK_MS = 320
-const MEMORY = 71_780
-const BEAT_MS = 1000
+/** A fetch that would wait longer for the link is not started. */
+const MAX_LINK_WAIT_MS = 320
+const MEMORY_TOKENS = 71_780
+const HEARTBEAT_MS = 1000
 const OBJECTIVE_MS = 400
 const RECEIVERS = 24
 const LEVELS_PER_ENGINE = 22
 
-/** Large prompts and short ones, in the parts in which one deployment gets them. */
+/** Large and short prompts, with their shares in one deployment. */
 const LARGE = { share: 0.59, own: 2890, shared: 3780, runMs: 90 }
 const SHORT = { share: 0.41, own: 628, shared: 198, runMs: 500 }
 
 export class EngineFleet {
   private readonly random: SeededRandom
   private readonly engines: Engine[]
-  /** What each instance heard: sums of beats, or the last word of a watcher. */
-  private readonly heard: Array<Map<number, ServerLoad & { readonly at: number }>>
-  private readonly words: Array<Map<number, ReadonlyMap<number, ServerLoad>>>
-  private readonly waits: number[] = []
+  /** For each instance, the last queried load of each engine. */
+  private readonly queriedLoads: Array<Map<number, ServerLoad & { readonly at: number }>>
+  private readonly heartbeatLoads: Array<Map<number, ReadonlyMap<number, ServerLoad>>>
+  private readonly waitsMs: number[] = []
   private linkFreeAt = 0
-  private readAgain = 0
+  private repeatedReads = 0
   private now = 0
 
   private constructor (private readonly shape: FleetShape) {
     const { instances, engines, seed } = shape
     this.random = SeededRandom.create(seed)
-    this.engines = Array.from({ length: engines }, (_, index) => ({ offer: createOffer(index), queue: [], running: [], kept: new Map(), begun: 0 }))
-    this.heard = Array.from({ length: instances }, () => new Map())
-    this.words = Array.from({ length: instances }, () => new Map())
+    this.engines = Array.from({ length: engines }, (_, index) => ({ offer: createOffer(index), queue: [], running: [], cachedLevels: new Map(), startedCount: 0 }))
+    this.queriedLoads = Array.from({ length: instances }, () => new Map())
+    this.heartbeatLoads = Array.from({ length: instances }, () => new Map())
   }
 
-  /** Plays eight seconds of steady load. */
-  static play (shape: FleetShape): FleetOutcome {
+  /** Simulates eight seconds of steady load. */
+  static simulate (shape: FleetShape): FleetOutcome {
     const fleet = new EngineFleet(shape)
     let nextAt = 0
-    for (; fleet.now < MS; fleet.now += 1) {
+    for (; fleet.now < DURATION_MS; fleet.now += 1) {
       while (nextAt <= fleet.now) {
-        fleet.arrive()
+        fleet.addRequest()
         nextAt += exponential(fleet.random, 1000 / shape.rate)
       }
-      fleet.beat()
-      fleet.engines.forEach(engine => fleet.step(engine))
+      fleet.sendHeartbeats()
+      fleet.engines.forEach(engine => fleet.stepEngine(engine))
     }
-    return fleet.outcome()
+    return fleet.computeOutcome()
   }
 
-  private arrive (): void {
+  private addRequest (): void {
     const { engines, instances } = this.shape
     const kind = this.random.next() < LARGE.share ? LARGE : SHORT
     const key = Math.imul(1 + this.random.below(LEVELS_PER_ENGINE * engines), 7919) + kind.own
     const instance = this.random.below(instances)
-    const engine = this.place(instance, key, kind.own + kind.shared)
-    const { kept, queue } = this.engines[engine] as Engine
-    const isFetched = !kept.has(key) && this.linkFreeAt < this.now + MOST_LINK_MS
+    const engine = this.placeRequest(instance, key, kind.own + kind.shared)
+    const { cachedLevels, queue } = this.engines[engine] as Engine
+    const isFetched = !cachedLevels.has(key) && this.linkFreeAt < this.now + MAX_LINK_WAIT_MS
     if (isFetched) {
       this.linkFreeAt = Math.max(this.now, this.linkFreeAt) + kind.shared / this.shape.linkRate
     }
-    const isRead = !kept.has(key) && !isFetched
-    this.readAgain += isRead ? 1 : 0
-    const unread = kind.own + (isRead ? kind.shared : 0)
+    const isPrefilled = !cachedLevels.has(key) && !isFetched
+    this.repeatedReads += isPrefilled ? 1 : 0
+    const tokensLeft = kind.own + (isPrefilled ? kind.shared : 0)
     queue.push({
-      key, own: kind.own, shared: kind.shared, runMs: kind.runMs, at: this.now, instance, engine, readyAt: isFetched ? this.linkFreeAt : this.now, isYielding: this.isToYield(instance, engine, unread), hasBegun: false, unread, endAt: Infinity
+      key, own: kind.own, shared: kind.shared, runMs: kind.runMs, at: this.now, instance, engine, readyAt: isFetched ? this.linkFreeAt : this.now, isYielding: this.shouldYield(instance, engine, tokensLeft), hasBegun: false, tokensLeft, endAt: Infinity
     })
   }
 
-  private isToYield (instance: number, engine: number, unread: number): boolean {
+  private shouldYield (instance: number, engine: number, tokensLeft: number): boolean {
     const { waitingTokens } = this.offerOf(engine, instance)
     const waitMs = waitingTokens / this.tokensPerMs
-    return this.shape.isYielding === true && isToYield({ elapsedMs: 0, waitMs, readMs: unread / this.tokensPerMs, objectiveMs: OBJECTIVE_MS })
+    return this.shape.isYielding === true && isToYield({ elapsedMs: 0, waitMs, readMs: tokensLeft / this.tokensPerMs, objectiveMs: OBJECTIVE_MS })
   }
 
   private get tokensPerMs (): number {
     return this.shape.tokensPerMs ?? TOKENS_PER_MS
   }
 
-  private place (instance: number, key: number, promptTokens: number): number {
+  private placeRequest (instance: number, key: number, promptTokens: number): number {
     const pace = { tokensPerMs: this.tokensPerMs, fetchMs: FETCH_MS }
     const need = { promptKey: key, promptTokens, sharedTokens: 0, outputTokens: 0, pace, objectiveMs: OBJECTIVE_MS, workMs: 0, fetchWaitMs: this.shape.isLinkCharged ? Math.max(0, this.linkFreeAt - this.now) : 0, failureDomain: `${instance % 3}` }
     const rank = (): readonly ServerOffer[] => rankOffers(this.engines.map((_, index) => this.offerOf(index, instance)), need, this.random)
-    if (this.shape.knowledge === Knowledge.Asked) {
-      rank().slice(0, 2).filter(() => this.random.next() >= this.shape.loss * 2).forEach(({ id }) => this.ask(instance, Number(id)))
+    if (this.shape.knowledge === LoadKnowledge.Queried) {
+      rank().slice(0, 2).filter(() => this.random.next() >= this.shape.loss * 2).forEach(({ id }) => this.queryLoad(instance, Number(id)))
     }
     return Number(rank()[0]?.id)
   }
 
-  private ask (instance: number, engine: number): void {
-    this.heard[instance]?.set(engine, { ...this.loadOf(engine, request => request.instance !== instance), at: this.now })
+  private queryLoad (instance: number, engine: number): void {
+    this.queriedLoads[instance]?.set(engine, { ...this.loadOf(engine, request => request.instance !== instance), at: this.now })
   }
 
   private offerOf (engine: number, instance: number): ServerOffer {
@@ -137,42 +137,42 @@
   }
 
   private othersLoad (engine: number, instance: number): ServerLoad {
-    if (this.shape.knowledge === Knowledge.Asked) {
-      const word = this.heard[instance]?.get(engine)
-      return word === undefined ? noLoad : fadeLoad(word, this.now - word.at)
+    if (this.shape.knowledge === LoadKnowledge.Queried) {
+      const load = this.queriedLoads[instance]?.get(engine)
+      return load === undefined ? noLoad : fadeLoad(load, this.now - load.at)
     }
-    return sum([...this.words[instance]?.values() ?? []].map(word => word.get(engine) ?? noLoad))
+    return sumLoads([...this.heartbeatLoads[instance]?.values() ?? []].map(loads => loads.get(engine) ?? noLoad))
   }
 
-  private loadOf (engine: number, counts: (request: Request) => boolean): ServerLoad {
+  private loadOf (engine: number, matches: (request: Request) => boolean): ServerLoad {
     const { queue, running } = this.engines[engine] as Engine
-    return sum([...queue, ...running].filter(counts).map(({ own, shared, unread, isYielding }) => ({ outstanding: 1, tokens: isYielding ? 0 : unread, heldTokens: own + shared })))
+    return sumLoads([...queue, ...running].filter(matches).map(({ own, shared, tokensLeft, isYielding }) => ({ outstanding: 1, tokens: isYielding ? 0 : tokensLeft, heldTokens: own + shared })))
   }
 
-  /** Each instance in its own millisecond of the period. */
-  private beat (): void {
+  /** Each instance sends its heartbeats in its own millisecond of the period. */
+  private sendHeartbeats (): void {
     const { instances, knowledge, loss, engines } = this.shape
-    for (let teller = 0; teller < instances; teller += 1) {
-      if (this.now % BEAT_MS !== Math.floor(teller * BEAT_MS / instances)) {
+    for (let sender = 0; sender < instances; sender += 1) {
+      if (this.now % HEARTBEAT_MS !== Math.floor(sender * HEARTBEAT_MS / instances)) {
         continue
       }
-      const word = new Map(Array.from({ length: engines }, (_, engine) => [engine, this.loadOf(engine, request => request.instance === teller)]))
-      for (let sent = 0; sent < Math.min(RECEIVERS, instances - 1); sent += 1) {
-        const hearer = this.random.below(instances)
-        if (this.random.next() < loss || hearer === teller) {
+      const report = new Map(Array.from({ length: engines }, (_, engine) => [engine, this.loadOf(engine, request => request.instance === sender)]))
+      for (let copy = 0; copy < Math.min(RECEIVERS, instances - 1); copy += 1) {
+        const receiver = this.random.below(instances)
+        if (this.random.next() < loss || receiver === sender) {
           continue
         }
-        if (knowledge === Knowledge.Beats) {
-          this.words[hearer]?.set(teller, word)
-        } else if (knowledge === Knowledge.Asked && teller < engines) {
-          this.ask(hearer, teller)
+        if (knowledge === LoadKnowledge.Heartbeats) {
+          this.heartbeatLoads[receiver]?.set(sender, report)
+        } else if (knowledge === LoadKnowledge.Queried && sender < engines) {
+          this.queryLoad(receiver, sender)
         }
       }
     }
   }
 
-  private step (engine: Engine): void {
-    const { queue, running, kept } = engine
+  private stepEngine (engine: Engine): void {
+    const { queue, running, cachedLevels } = engine
     for (let index = running.length - 1; index >= 0; index -= 1) {
       if ((running[index] as Request).endAt <= this.now) {
         running.splice(index, 1)
@@ -180,31 +180,31 @@
     }
     let left = this.tokensPerMs
     for (;;) {
-      const place = this.nextIn(queue)
+      const place = this.findNext(queue)
       const first = queue[place]
       if (left <= 0 || first === undefined || !this.hasRoom(engine, first)) {
         return
       }
-      const read = Math.min(left, first.unread)
-      first.unread -= read
+      const read = Math.min(left, first.tokensLeft)
+      first.tokensLeft -= read
       first.hasBegun = true
       left -= read
-      if (first.unread > 0) {
+      if (first.tokensLeft > 0) {
         return
       }
       queue.splice(place, 1)
       first.endAt = this.now + first.runMs
       running.push(first)
-      engine.begun += 1
-      this.waits.push(this.now - first.at)
-      kept.delete(first.key)
-      kept.set(first.key, first.shared)
-      dropOldest(kept, MEMORY - held(running))
+      engine.startedCount += 1
+      this.waitsMs.push(this.now - first.at)
+      cachedLevels.delete(first.key)
+      cachedLevels.set(first.key, first.shared)
+      evictOldest(cachedLevels, MEMORY_TOKENS - sumHeldTokens(running))
     }
   }
 
-  /** The one being read goes on; of the others those that yield come last. */
-  private nextIn (queue: readonly Request[]): number {
+  /** The prompt whose prefill has begun continues; of the others, those that yield come last. */
+  private findNext (queue: readonly Request[]): number {
     const isReady = ({ readyAt }: Request): boolean => readyAt <= this.now
     const rank = (request: Request): number => request.hasBegun ? 0 : request.isYielding ? 2 : 1
     const ready = queue.filter(isReady)
@@ -213,21 +213,21 @@
   }
 
   private hasRoom ({ running, offer }: Engine, { own, shared }: Request): boolean {
-    return running.length < offer.slots && held(running) + own + shared <= MEMORY
+    return running.length < offer.slots && sumHeldTokens(running) + own + shared <= MEMORY_TOKENS
   }
 
-  private outcome (): FleetOutcome {
-    const sorted = [...this.waits].sort((one, other) => one - other)
+  private computeOutcome (): FleetOutcome {
+    const sorted = [...this.waitsMs].sort((a, b) => a - b)
     const at = (part: number): number => sorted[Math.floor(part * (sorted.length - 1))] ?? 0
-    const begun = this.engines.map(engine => engine.begun)
+    const startedCounts = this.engines.map(engine => engine.startedCount)
     const unanswered = this.engines.reduce((count, { queue }) => count + queue.length, 0)
     return {
       p50: at(0.5),
       p99: at(0.99),
       lateShare: (sorted.filter(wait => wait > OBJECTIVE_MS).length + unanswered) / (sorted.length + unanswered),
-      goodput: sorted.filter(wait => wait <= OBJECTIVE_MS).length * 1000 / MS,
-      againShare: this.readAgain / sorted.length,
-      spread: Math.max(...begun) * begun.length / sorted.length
+      goodput: sorted.filter(wait => wait <= OBJECTIVE_MS).length * 1000 / DURATION_MS,
+      repeatedShare: this.repeatedReads / sorted.length,
+      spread: Math.max(...startedCounts) * startedCounts.length / sorted.length
     }
   }
 }
@@ -242,7 +242,7 @@
     waitingTokens: 0,
     missingTokens: 0,
     heldTokens: 0,
-    memoryTokens: MEMORY,
+    memoryTokens: MEMORY_TOKENS,
     isRefusing: false,
     isAbsent: false,
     faultCostMs: 0,
@@ -252,7 +252,7 @@
   }
 }
 
-function sum (loads: readonly ServerLoad[]): ServerLoad {
+function sumLoads (loads: readonly ServerLoad[]): ServerLoad {
   let { outstanding, tokens, heldTokens } = noLoad
   for (const load of loads) {
     outstanding += load.outstanding
@@ -262,17 +262,17 @@
   return { outstanding, tokens, heldTokens }
 }
 
-function held (running: readonly Request[]): number {
+function sumHeldTokens (running: readonly Request[]): number {
   return running.reduce((tokens, { own, shared }) => tokens + own + shared, 0)
 }
 
-function dropOldest (kept: Map<number, number>, room: number): void {
-  let tokens = [...kept.values()].reduce((total, size) => total + size, 0)
-  for (const [key, size] of kept) {
+function evictOldest (cachedLevels: Map<number, number>, room: number): void {
+  let tokens = [...cachedLevels.values()].reduce((total, size) => total + size, 0)
+  for (const [key, size] of cachedLevels) {
     if (tokens <= room) {
       return
     }
-    kept.delete(key)
+    cachedLevels.delete(key)
     tokens -= size
   }
 }
--- a/packages/foxtaillever-policy/src/bench/fleetShape.ts
+++ b/packages/foxtaillever-policy/src/bench/fleetShape.ts
@@ -1,44 +1,44 @@
-/** What a fleet is made of in the model of one, and what its callers get. */
+/** Parameters and results of the simulated fleet. */
 
-/** How an instance knows what the others put on engines. */
-export enum Knowledge {
-  /** Of its own requests alone. */
+/** How an instance learns of the load that other instances put on engines. */
+export enum LoadKnowledge {
+  /** It knows only its own requests. */
   None,
-  /** Beats at a random part of the others; the last of each counts whole. */
-  Beats,
-  /** Two engines' watchers are asked before each choice; sums in beats fade. */
-  Asked
+  /** Heartbeats to a random part of the others; the last one of each instance counts in full. */
+  Heartbeats,
+  /** The load of two engines is queried before each choice; queried loads decay with age. */
+  Queried
 }
 
 export interface FleetShape {
   readonly instances: number
   readonly engines: number
-  /** Requests a second, all instances together. */
+  /** Requests a second at all instances together. */
   readonly rate: number
-  /** The store's link, tokens a millisecond. */
+  /** Capacity of the store's link, tokens a millisecond. */
   readonly linkRate: number
-  readonly knowledge: Knowledge
-  /** Whether leaving a home costs the wait for the link. */
+  readonly knowledge: LoadKnowledge
+  /** Whether the score of a server that is not the home includes the wait for the link. */
   readonly isLinkCharged: boolean
-  /** Part of the datagrams that are lost. */
+  /** Share of the datagrams that are lost. */
   readonly loss: number
-  /** What an engine reads in a millisecond, tokens. */
+  /** Prefill speed of an engine, tokens a millisecond. */
   readonly tokensPerMs?: number
-  /** Requests that would be late by the queue go behind those that can be in time. */
+  /** Whether requests that the queue would make late yield to those that can be in time. */
   readonly isYielding?: boolean
   readonly seed: number
 }
 
 export interface FleetOutcome {
-  /** Milliseconds from the choice to the first token. */
+  /** Milliseconds from the choice of an engine to the first token. */
   readonly p50: number
   readonly p99: number
-  /** Part of the requests that waited for more than the objective. */
+  /** Share of the requests that waited longer than the objective. */
   readonly lateShare: number
-  /** Requests a second that did not. */
+  /** Requests a second that met the objective. */
   readonly goodput: number
-  /** Part of the shared levels that were read because the store's link was too busy. */
-  readonly againShare: number
-  /** Requests that began at the busiest engine, in times of the mean. */
+  /** Share of the requests that prefilled their shared level because the store's link was too busy. */
+  readonly repeatedShare: number
+  /** Requests that began at the busiest engine, divided by the mean. */
   readonly spread: number
 }
--- a/packages/foxtaillever-policy/src/collections/decayingRate.ts
+++ b/packages/foxtaillever-policy/src/collections/decayingRate.ts
@@ -1,28 +1,28 @@
 /**
- * Rate of a quantity a millisecond, in which old amounts fade. One number and
- * one time, whatever the traffic.
+ * Rate of a quantity a millisecond with exponential decay of old amounts. Stores
+ * one number and one time, whatever the traffic.
  */
 export class DecayingRate {
   private sum = 0
-  private at = 0
+  private updatedAt = 0
 
-  private constructor (private readonly fadeMs: number) {}
+  private constructor (private readonly decayMs: number) {}
 
-  static create (fadeMs: number): DecayingRate {
-    return new DecayingRate(fadeMs)
+  static create (decayMs: number): DecayingRate {
+    return new DecayingRate(decayMs)
   }
 
   add (amount: number, now: number): void {
-    this.sum = this.faded(now) + amount
-    this.at = Math.max(this.at, now)
+    this.sum = this.decayedSum(now) + amount
+    this.updatedAt = Math.max(this.updatedAt, now)
   }
 
   /** Amount a millisecond. */
   value (now: number): number {
-    return this.faded(now) / this.fadeMs
+    return this.decayedSum(now) / this.decayMs
   }
 
-  private faded (now: number): number {
-    return now <= this.at ? this.sum : this.sum * Math.exp((this.at - now) / this.fadeMs)
+  private decayedSum (now: number): number {
+    return now <= this.updatedAt ? this.sum : this.sum * Math.exp((this.updatedAt - now) / this.decayMs)
   }
 }
--- a/packages/foxtaillever-policy/src/collections/heap.ts
+++ b/packages/foxtaillever-policy/src/collections/heap.ts
@@ -1,10 +1,10 @@
-/** Binary heap; the entry that `isBefore` all others comes out first. */
+/** Binary heap; the entry that is before all others by `isBefore` is removed first. */
 export class Heap<Entry> {
   private entries: Entry[] = []
 
-  private constructor (private readonly isBefore: (one: Entry, other: Entry) => boolean) {}
+  private constructor (private readonly isBefore: (a: Entry, b: Entry) => boolean) {}
 
-  static create<Entry> (isBefore: (one: Entry, other: Entry) => boolean): Heap<Entry> {
+  static create<Entry> (isBefore: (a: Entry, b: Entry) => boolean): Heap<Entry> {
     return new Heap(isBefore)
   }
 
@@ -33,19 +33,19 @@
     const first = this.entries[0]
     const last = this.entries.pop()
     if (this.entries.length > 0) {
-      this.sink(last as Entry)
+      this.siftDown(last as Entry)
     }
     return first
   }
 
-  /** Drops every entry that the test refuses. */
-  keep (test: (entry: Entry) => boolean): void {
-    const kept = this.entries.filter(test)
+  /** Keeps only the entries that match the predicate. */
+  filter (predicate: (entry: Entry) => boolean): void {
+    const kept = this.entries.filter(predicate)
     this.entries = []
     kept.forEach(entry => this.push(entry))
   }
 
-  private sink (entry: Entry): void {
+  private siftDown (entry: Entry): void {
     const { length } = this.entries
     let index = 0
     for (;;) {
--- a/packages/foxtaillever-policy/src/collections/movingMean.ts
+++ b/packages/foxtaillever-policy/src/collections/movingMean.ts
@@ -1,13 +1,13 @@
 /**
- * Exponentially weighted mean of samples. The first ones weigh as in a plain
- * mean in which the prior is one sample, so that a wrong prior soon fades.
+ * Exponentially weighted mean of samples. The first samples count as in a plain
+ * mean with the prior as one sample, so that a wrong prior soon loses weight.
  */
 export class MovingMean {
   private count = 0
 
   private constructor (private mean: number, private readonly gain: number) {}
 
-  /** @param gain weight of a new sample in the long run, 0 to 1. @param prior what holds before the first sample. */
+  /** @param gain weight of a new sample in the long run, 0 to 1. @param prior value before the first sample. */
   static create (prior: number, gain: number): MovingMean {
     return new MovingMean(prior, gain)
   }
@@ -16,7 +16,7 @@
     return this.mean
   }
 
-  get samples (): number {
+  get sampleCount (): number {
     return this.count
   }
 
--- a/packages/foxtaillever-policy/src/collections/recentMap.ts
+++ b/packages/foxtaillever-policy/src/collections/recentMap.ts
@@ -1,23 +1,24 @@
 /**
- * A map with a bound; entries not used for long go first. What this instance
- * learns from traffic lives here, so no traffic can fill its memory.
+ * A bounded map that drops the least recently used entries. It stores what an
+ * instance learns from traffic, so that no traffic can fill the memory.
  *
- * Two generations instead of an order of use: a full young one becomes the old
- * one, and the old one is dropped. Each call costs the same, while taking the
- * oldest key out of a large Map walks over all that were deleted before it.
+ * It has two generations instead of an order of use: when the young generation
+ * is full it becomes the old one, and the old one is dropped. So each call costs
+ * the same, while finding the oldest key of a large Map walks over all keys
+ * deleted before it.
  */
 export class RecentMap<Value> {
   private young = new Map<string, Value>()
   private old = new Map<string, Value>()
-  private readonly generation: number
+  private readonly generationSize: number
 
-  private constructor (bound: number) {
-    this.generation = Math.max(1, Math.floor(bound / 2))
+  private constructor (maxSize: number) {
+    this.generationSize = Math.max(1, Math.floor(maxSize / 2))
   }
 
-  /** @param bound most entries; at least the half of it used last is kept. */
-  static create<Value> (bound: number): RecentMap<Value> {
-    return new RecentMap(bound)
+  /** @param maxSize maximum number of entries; at least the half of it used last is kept. */
+  static create<Value> (maxSize: number): RecentMap<Value> {
+    return new RecentMap(maxSize)
   }
 
   get size (): number {
@@ -30,7 +31,7 @@
   }
 
   /** Reads an entry and counts it as used. */
-  use (key: string): Value | undefined {
+  get (key: string): Value | undefined {
     const known = this.young.get(key)
     if (known !== undefined) {
       return known
@@ -45,13 +46,13 @@
   set (key: string, value: Value): void {
     this.old.delete(key)
     this.young.set(key, value)
-    if (this.young.size > this.generation) {
+    if (this.young.size > this.generationSize) {
       this.old = this.young
       this.young = new Map()
     }
   }
 
-  /** Those used last come last. */
+  /** All entries; those used last come last. */
   list (): Array<[string, Value]> {
     return [...this.old, ...this.young]
   }
--- a/packages/foxtaillever-policy/src/index.ts
+++ b/packages/foxtaillever-policy/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the decisions. */
+/** Public API of the scheduling policy. */
 export * from './admission/checkAdmission.js'
 export { IntakeRule } from './admission/intake.js'
 export * from './job.js'
--- a/packages/foxtaillever-policy/src/job.ts
+++ b/packages/foxtaillever-policy/src/job.ts
@@ -1,5 +1,5 @@
 /**
- * What a decision knows of a request, and what decisions look like.
+ * The jobs that the scheduler decides on, and its decisions.
  */
 import type { Failure, PrefixLevel, PriorityClass } from 'foxtaillever-core'
 
@@ -17,28 +17,28 @@
   readonly levels: readonly PrefixLevel[]
   readonly promptTokens: number
   readonly maxTokens: number
-  /** Digest of account and prompt; the same request sent again has the same. */
+  /** Digest of account and prompt; a repeated request has the same fingerprint. */
   readonly fingerprint: string
 }
 
-/** One backend server weighed for one job. */
+/** One backend server scored for one job. */
 export interface Candidate {
   readonly server: string
   /** Cost in the unit of the placement policy; lower is better. */
   readonly cost: number
 }
 
-/** Send the job to the backend server now. */
+/** Decision to send the job to the backend server now. */
 export interface Assignment {
   readonly jobId: string
   readonly server: string
-  /** What was weighed, cheapest first; kept for explanations. */
+  /** The scored servers, lowest cost first; kept for explanations. */
   readonly candidates: readonly Candidate[]
-  /** Name of the rule that decided. */
+  /** Name of the placement policy that decided. */
   readonly rule: string
 }
 
-/** Answer the job with this failure now. */
+/** Decision to refuse the job with this failure now. */
 export interface Refusal {
   readonly jobId: string
   readonly failure: Failure
--- a/packages/foxtaillever-policy/src/limits/accountLimits.ts
+++ b/packages/foxtaillever-policy/src/limits/accountLimits.ts
@@ -58,7 +58,7 @@
 
   /** The request was taken in; a large one may leave the bucket in debt. */
   take (account: string, tokens: number): void {
-    const use = this.uses.use(account)
+    const use = this.uses.get(account)
     if (use) {
       use.work.take(tokens)
       use.running += 1
@@ -76,7 +76,7 @@
 
   private fill (account: string, rate: number, now: number): AccountUse {
     const most = rate * BURST_MS
-    const use = this.uses.use(account) ?? { work: TokenBucket.create(most, now), running: 0 }
+    const use = this.uses.get(account) ?? { work: TokenBucket.create(most, now), running: 0 }
     use.work.fill(rate, most, now)
     this.uses.set(account, use)
     return use
--- a/packages/foxtaillever-policy/src/limits/shareOfLimit.ts
+++ b/packages/foxtaillever-policy/src/limits/shareOfLimit.ts
@@ -77,7 +77,7 @@
 
   /** A request of the account came here, taken in or not. */
   demand (account: string, tokens: number, now: number): void {
-    const rate = this.own.use(account) ?? DecayingRate.create(DEMAND_FADE_MS)
+    const rate = this.own.get(account) ?? DecayingRate.create(DEMAND_FADE_MS)
     rate.add(tokens, now)
     this.own.set(account, rate)
   }
--- a/packages/foxtaillever-policy/src/limits/sharedLimitBook.ts
+++ b/packages/foxtaillever-policy/src/limits/sharedLimitBook.ts
@@ -232,7 +232,7 @@
   }
 
   private stateOf ({ key, limit }: LimitClaim, role: LimitRole, settledAt: number, now: number): KeyState {
-    const known = this.states.use(key)
+    const known = this.states.get(key)
     if (!known) {
       const state: KeyState = { bucket: TokenBucket.create(this.tolerance.slack * START_PART, settledAt), role, limit, heldBackUntil: 0, renewedAt: 0, returns: ReturnTurns.create() }
       this.states.set(key, state)
--- a/packages/foxtaillever-policy/src/order/dispatcher.ts
+++ b/packages/foxtaillever-policy/src/order/dispatcher.ts
@@ -200,7 +200,7 @@
   }
 
   private isLong ({ cost }: WaitingJob): boolean {
-    return this.meanCost.samples > 0 && cost > LONG_COST_FACTOR * this.meanCost.value
+    return this.meanCost.sampleCount > 0 && cost > LONG_COST_FACTOR * this.meanCost.value
   }
 
   /** Whether a request of the priority class was sent within the last seconds. */
--- a/packages/foxtaillever-policy/src/order/fairClass.ts
+++ b/packages/foxtaillever-policy/src/order/fairClass.ts
@@ -154,7 +154,7 @@
       this.jobsByTurn.pop()
     }
     if (this.jobsByTurn.size > 2 * this.size + MAX_GONE_ENTRIES) {
-      this.jobsByTurn.keep(entry => !entry.gone)
+      this.jobsByTurn.filter(entry => !entry.gone)
     }
   }
 }
--- a/packages/foxtaillever-policy/src/order/waitingJobs.ts
+++ b/packages/foxtaillever-policy/src/order/waitingJobs.ts
@@ -86,7 +86,7 @@
   private trimHeaps (): void {
     for (const heap of [this.byLatestStart, this.pausedByTime]) {
       if (heap.size > 2 * this.jobs.size + MAX_GONE_ENTRIES) {
-        heap.keep(entry => !entry.gone)
+        heap.filter(entry => !entry.gone)
       }
     }
   }
--- a/packages/foxtaillever-policy/src/placement/prefixTable.ts
+++ b/packages/foxtaillever-policy/src/placement/prefixTable.ts
@@ -151,7 +151,7 @@
    */
   getOrCreate (job: Job, weightsVersion: string, level: PrefixLevel, depth: number): PrefixRecord {
     const key = `${job.account}/${job.model}/${weightsVersion}/${level.hash}`
-    const known = this.records.use(key)
+    const known = this.records.get(key)
     if (known) {
       return known
     }
--- a/packages/foxtaillever-policy/src/relay/__tests__/largeFleet.test.ts
+++ b/packages/foxtaillever-policy/src/relay/__tests__/largeFleet.test.ts
@@ -1,13 +1,13 @@
 import { hashNumber } from 'foxtaillever-core'
 import { describe, it } from 'foxtaillever-testing'
 import { EngineFleet } from '../../bench/engineFleet.js'
-import { Knowledge, type FleetOutcome } from '../../bench/fleetShape.js'
+import { LoadKnowledge, type FleetOutcome } from '../../bench/fleetShape.js'
 import { ComputedWatchers, watchersOf } from '../computedWatchers.js'
 import { fadeLoad, sampleSum } from '../serverLoad.js'
 
 /** Seventy instances before forty-two engines, with half more than their usual load. */
-function play (knowledge: Knowledge, seed: number, linkRate: number): FleetOutcome {
-  return EngineFleet.play({ instances: 70, engines: 42, rate: 600, linkRate, knowledge, isLinkCharged: true, loss: 0.025, seed })
+function play (knowledge: LoadKnowledge, seed: number, linkRate: number): FleetOutcome {
+  return EngineFleet.simulate({ instances: 70, engines: 42, rate: 600, linkRate, knowledge, isLinkCharged: true, loss: 0.025, seed })
 }
 
 /** Tokens a millisecond: no fetch waits. */
@@ -20,17 +20,17 @@
   for (const seed of [1, 2, 3]) {
     // An instance meets an engine every few seconds and hears of the others' load when it is over. It leaves idle homes for busy engines, and callers wait behind each other.
     it(`lets callers wait less when it asks before it chooses, seed ${seed}`, t => {
-      const beats = play(Knowledge.Beats, seed, WIDE_LINK)
-      const asked = play(Knowledge.Asked, seed, WIDE_LINK)
+      const beats = play(LoadKnowledge.Heartbeats, seed, WIDE_LINK)
+      const asked = play(LoadKnowledge.Queried, seed, WIDE_LINK)
       t.log(JSON.stringify({ beats, asked }))
       t.true(asked.p99 < beats.p99 * 0.8)
     })
 
     // Each request that leaves a home for a moment's wait has its level fetched. The store's link fills, and then two levels in three are read again, which costs more than the requests earn.
     it(`keeps levels at their homes while the store's link is busy, seed ${seed}`, t => {
-      const asked = play(Knowledge.Asked, seed, NARROW_LINK)
+      const asked = play(LoadKnowledge.Queried, seed, NARROW_LINK)
       t.log(JSON.stringify({ asked }))
-      t.true(asked.againShare < 0.45)
+      t.true(asked.repeatedShare < 0.45)
       t.true(asked.p50 < 50)
     })
   }
--- a/packages/foxtaillever-policy/src/relay/__tests__/yieldPriority.test.ts
+++ b/packages/foxtaillever-policy/src/relay/__tests__/yieldPriority.test.ts
@@ -5,7 +5,7 @@
  */
 import { describe, it } from 'foxtaillever-testing'
 import { EngineFleet } from '../../bench/engineFleet.js'
-import { Knowledge, type FleetOutcome } from '../../bench/fleetShape.js'
+import { LoadKnowledge, type FleetOutcome } from '../../bench/fleetShape.js'
 import { isToYield, LAST_PRIORITY, yieldPriority } from '../yieldPriority.js'
 
 /** Tokens a millisecond. */
@@ -18,8 +18,8 @@
 const SEEDS = [1, 2, 3]
 
 function play (load: number, isYielding: boolean, seed: number): FleetOutcome {
-  return EngineFleet.play({
-    instances: 8, engines: ENGINES, rate: CAPACITY * load, linkRate: 5000, knowledge: Knowledge.Asked, isLinkCharged: true, loss: 0.025, tokensPerMs: SPEED, isYielding, seed
+  return EngineFleet.simulate({
+    instances: 8, engines: ENGINES, rate: CAPACITY * load, linkRate: 5000, knowledge: LoadKnowledge.Queried, isLinkCharged: true, loss: 0.025, tokensPerMs: SPEED, isYielding, seed
   })
 }
 
--- a/packages/foxtaillever-policy/src/scheduler.ts
+++ b/packages/foxtaillever-policy/src/scheduler.ts
@@ -1,8 +1,8 @@
 /**
- * The one face of all decisions towards the router. The router offers jobs,
- * reports what became of them and asks on each tick what to send and what to
- * refuse. No I/O, no clock, no randomness but what is passed in: the same calls
- * give the same decisions.
+ * The interface of all scheduling decisions for the router. The router submits
+ * jobs, reports the progress of their answers, and on each tick gets the jobs to
+ * send and to refuse. There is no I/O; time and randomness are passed in, so the
+ * same calls give the same decisions.
  */
 import {
   emptyConfiguration, Failure, FailureCode, presetOf,
@@ -30,19 +30,19 @@
   readonly random: Random
   /** Failure domain of this instance. */
   readonly failureDomain: string
-  /** One way from this instance to other failure domains, milliseconds. */
+  /** One-way network latency from this instance to other failure domains, milliseconds. */
   readonly distancesMs?: Readonly<Record<string, number>>
 }
 
-/** To a failure domain of the same region whose distance is not given. */
-const DISTANCE_MS = 1
+/** Assumed one-way latency to a failure domain of the same region without a configured one. */
+const DEFAULT_DISTANCE_MS = 1
 
-/** What to do with a job whose attempt failed. */
-export enum Sequel {
-  /** It waits again and will be assigned anew. */
+/** What happens to a job whose attempt failed. */
+export enum FailureOutcome {
+  /** The job waits again for a retry. */
   Retried = 'retried',
   /** The caller gets the failure now. */
-  GivenUp = 'given-up'
+  Failed = 'given-up'
 }
 
 export class Scheduler {
@@ -56,18 +56,18 @@
   private readonly intake: Intake
   private readonly dispatcher: Dispatcher
   private instances = 1
-  /** Time of the last call, for those that bring none. */
+  /** Time of the last call, for methods without a time parameter. */
   private now = 0
   private assignments: Assignment[] = []
   private refusals: Refusal[] = []
   private readonly refusedByRule = new Map<string, number>()
 
   private constructor (private readonly options: SchedulerOptions) {
-    const distanceTo = (domain: string): number => domain === options.failureDomain ? 0 : options.distancesMs?.[domain] ?? DISTANCE_MS
+    const distanceTo = (domain: string): number => domain === options.failureDomain ? 0 : options.distancesMs?.[domain] ?? DEFAULT_DISTANCE_MS
     this.placer = Placer.create({ fleet: this.fleet, random: options.random, distanceTo })
     this.attempts = AttemptTable.create(this.fleet, this.placer)
     const { fleet, waitingJobs, placer, attempts, suspects } = this
-    const displace = (entry: WaitingJob, refusal: RuledFailure): void => this.refuseWaiting(entry, refusal)
+    const displace = (entry: WaitingJob, refusal: RuledFailure): void => this.refuseWaitingJob(entry, refusal)
     this.intake = Intake.create({ fleet, waitingJobs, attempts, suspects, displace })
     this.dispatcher = Dispatcher.create({
       fleet,
@@ -75,8 +75,8 @@
       waitingJobs,
       suspects,
       shares: attempts.shares,
-      send: (dispatched, now) => this.send(dispatched, now),
-      refuseQuarantined: entry => this.refuseWaiting(entry, this.intake.createQuarantineRefusal(entry.job))
+      send: (dispatched, now) => this.sendJob(dispatched, now),
+      refuseQuarantined: entry => this.refuseWaitingJob(entry, this.intake.createQuarantineRefusal(entry.job))
     })
   }
 
@@ -84,69 +84,69 @@
     return new Scheduler(options)
   }
 
-  /** Puts a newer configuration in force. */
+  /** Applies a newer configuration. */
   configure (configuration: Configuration, now: number): void {
     this.configuration = configuration
     this.fleet.configure(configuration, now)
     this.intake.configure(configuration)
     this.waitingJobs.queue.setFloorShare(this.preset.floorShare)
-    this.setDrainPrior()
+    this.updateDrainPrior()
   }
 
-  /** Takes the instance list's word, or the server's own refusal, on a backend server. */
-  observeListed (server: string, state: ListedState, _now: number): void {
+  /** Applies the state of a backend server from the instance list or from the server's own refusal. */
+  applyListedState (server: string, state: ListedState, _now: number): void {
     this.fleet.applyListedState(server, state)
   }
 
-  /** Takes a load report; it is late by the engine's lag. */
-  observeLoad (server: string, report: LoadReport, now: number): void {
+  /** Applies a load report, which is delayed by the engine's lag. */
+  applyLoadReport (server: string, report: LoadReport, now: number): void {
     this.suspects.observeIncarnation(server, report.incarnation, report.madeAt, now)
     this.fleet.applyLoadReport(server, report, now)
   }
 
   /**
-   * Takes the number of entry instances, this one included.
-   * @param index place of this one among them, in order of name.
+   * Sets the number of entry instances, this one included.
+   * @param index position of this instance among all instances sorted by name.
    */
-  observeInstances (count: number, index = 0): void {
+  setInstances (count: number, index = 0): void {
     this.instances = Math.max(1, count)
     this.placer.setInstancePosition({ index, count: this.instances })
     this.intake.share.observeInstances(this.instances)
     this.fleet.instances = this.instances
-    this.setDrainPrior()
+    this.updateDrainPrior()
   }
 
-  /** Takes what a peer said of its accounts' demand; holds until it expires. */
-  observeDemand (peer: string, demands: readonly AccountDemand[], expiresAt: number): void {
+  /** Applies the demand that a peer announced for its accounts; valid until it expires. */
+  applyPeerDemand (peer: string, demands: readonly AccountDemand[], expiresAt: number): void {
     this.intake.share.observePeer(peer, demands, expiresAt)
   }
 
-  /** What to tell peers: demand of the accounts near their limit. */
-  demandToShare (now: number): AccountDemand[] {
+  /** Demand to announce to peers, for accounts near their limit. */
+  demandToAnnounce (now: number): AccountDemand[] {
     return this.intake.share.toShare(account => this.configuration.accounts[account]?.tokensPerSecond ?? Infinity, now)
   }
 
-  /** Takes what peers know of requests that may crash backend servers. */
-  observeSuspects (facts: readonly SuspectFact[], now: number): void {
+  /** Applies facts from peers about requests that may crash backend servers. */
+  applySuspects (facts: readonly SuspectFact[], now: number): void {
     this.suspects.observe(facts, now)
   }
 
-  /** What to tell peers: requests that may crash backend servers. */
-  suspectsToShare (now: number): SuspectFact[] {
+  /** Facts to announce to peers about requests that may crash backend servers. */
+  suspectsToAnnounce (now: number): SuspectFact[] {
     return this.suspects.toShare(now)
   }
 
-  /** Takes in a job, or refuses it at once. */
-  offer (job: Job, now: number): Either<Failure, void> {
+  /** Accepts a job, or refuses it at once. */
+  submitJob (job: Job, now: number): Either<Failure, void> {
     this.now = now
     return this.intake.acceptJob(job, now).bimap(
       refusal => this.countRefusal(refusal),
-      entry => this.takeIn(entry, now)
+      entry => this.addJob(entry, now)
     )
   }
 
-  /** Forgets a job whose caller has gone. */
-  withdraw (jobId: string): void {
+  /** Removes a job whose caller has disconnected. */
+  withdrawJob (jobId: string): void {
     const waiting = this.waitingJobs.get(jobId)
     if (waiting) {
       this.waitingJobs.remove(waiting)
@@ -159,12 +159,12 @@
     }
   }
 
-  /** Decides what to send and what to refuse now. */
+  /** Decides which jobs to send and which to refuse now. */
   tick (now: number): Decisions {
     this.now = now
     this.fleet.tick(this.preset.ejectedShare, now)
     this.waitingJobs.resumePaused(now)
-    this.waitingJobs.removeExpired(now).forEach(entry => this.refuse(entry, expiryOf(entry, now)))
+    this.waitingJobs.removeExpired(now).forEach(entry => this.refuseJob(entry, createExpiryRefusal(entry, now)))
     this.intake.drain.tick(this.waitingJobs.queue.size > 0, now)
     this.dispatcher.dispatchJobs({
       preset: this.preset,
@@ -178,8 +178,8 @@
     return { assignments, refusals }
   }
 
-  /** The engine has begun to answer. */
-  started (jobId: string, start: StreamStart, now: number): void {
+  /** Records that the engine has begun to answer. */
+  recordStart (jobId: string, start: StreamStart, now: number): void {
     const attempt = this.attempts.get(jobId)
     if (attempt) {
       this.suspects.observeIncarnation(attempt.server.name, start.incarnation, now, now)
@@ -187,16 +187,16 @@
     }
   }
 
-  /** The first token came. */
-  firstToken (jobId: string, now: number): void {
+  /** Records the arrival of the first token. */
+  recordFirstToken (jobId: string, now: number): void {
     const attempt = this.attempts.get(jobId)
     if (attempt && attempt.firstTokenAt === 0) {
       this.attempts.recordFirstToken(attempt, now)
     }
   }
 
-  /** The answer is complete. */
-  finished (jobId: string, end: StreamEnd, now: number): void {
+  /** Records that the answer is complete. */
+  recordFinish (jobId: string, end: StreamEnd, now: number): void {
     const attempt = this.attempts.get(jobId)
     if (!attempt) {
       return
@@ -207,28 +207,28 @@
     this.intake.recordEnd(entry, end)
   }
 
-  /** An attempt failed; says whether the job waits again. */
-  failed (jobId: string, failure: Failure, now: number): Sequel {
+  /** Records a failed attempt; returns whether the job waits for a retry. */
+  recordFailure (jobId: string, failure: Failure, now: number): FailureOutcome {
     const attempt = this.attempts.get(jobId)
     if (!attempt) {
-      return Sequel.GivenUp
+      return FailureOutcome.Failed
     }
     const { entry, server } = attempt
     this.attempts.recordFailure(attempt, failure, this.preset.ejectedShare, now)
     if (isCrash(failure)) {
       this.suspects.accuse(entry.job.fingerprint, server.name, attempt.incarnation, now)
     }
-    const notBefore = this.retryTime(attempt, failure, now)
+    const notBefore = this.decideRetryTime(attempt, failure, now)
     if (notBefore === undefined) {
       this.intake.refundUnusedTokens(entry, entry.tokens)
-      return Sequel.GivenUp
+      return FailureOutcome.Failed
     }
     const failedAt = [...entry.failedAt, server.name]
     this.waitingJobs.add({ ...entry, failedAt, attempts: entry.attempts + 1, notBefore, holdUntil: Infinity, gone: false }, now)
-    return Sequel.Retried
+    return FailureOutcome.Retried
   }
 
-  /** State for the dump: plain data, bounded by servers and rules. */
+  /** State for the dump: plain data, bounded by the number of servers and rules. */
   dump (): SchedulerState {
     return dumpScheduler({
       servers: this.fleet.list(),
@@ -247,12 +247,12 @@
     return presetOf(this.configuration)
   }
 
-  private setDrainPrior (): void {
+  private updateDrainPrior (): void {
     const slots = this.fleet.list().reduce((sum, { configured }) => sum + configured.slots, 0)
     this.intake.drain.setPrior(slots / this.instances)
   }
 
-  private send ({ entry, placement, isLong, isSuspect }: DispatchedJob, now: number): void {
+  private sendJob ({ entry, placement, isLong, isSuspect }: DispatchedJob, now: number): void {
     const attempt = Attempt.create({ entry, placement, isLong, isSuspect, sentAt: now })
     this.waitingJobs.recordSent(entry)
     this.intake.drain.recordSent(entry.cost)
@@ -261,7 +261,7 @@
     this.assignments.push({ jobId: entry.job.id, server: placement.server.name, candidates: placement.candidates, rule: this.preset.placement })
   }
 
-  private retryTime ({ entry }: Attempt, failure: Failure, now: number): number | undefined {
+  private decideRetryTime ({ entry }: Attempt, failure: Failure, now: number): number | undefined {
     if (this.suspects.suspicionOf(entry.job.fingerprint, now) === Suspicion.Quarantined) {
       return undefined
     }
@@ -269,17 +269,17 @@
     return decideRetry({ job, failure, attempts: entry.attempts + 1, latestStart, now }, this.budget, this.options.random)
   }
 
-  private refuseWaiting (entry: WaitingJob, refusal: RuledFailure): void {
+  private refuseWaitingJob (entry: WaitingJob, refusal: RuledFailure): void {
     this.waitingJobs.remove(entry)
-    this.refuse(entry, refusal)
+    this.refuseJob(entry, refusal)
   }
 
-  private refuse (entry: WaitingJob, refusal: RuledFailure): void {
+  private refuseJob (entry: WaitingJob, refusal: RuledFailure): void {
     this.intake.refundUnusedTokens(entry, 0)
     this.refusals.push({ jobId: entry.job.id, rule: refusal.rule, failure: this.countRefusal(refusal) })
   }
 
-  private takeIn (entry: WaitingJob, now: number): void {
+  private addJob (entry: WaitingJob, now: number): void {
     this.budget.addFirstTry(this.preset.retryShare)
     this.waitingJobs.add(entry, now)
   }
@@ -290,7 +290,7 @@
   }
 }
 
-function expiryOf ({ job }: WaitingJob, now: number): RuledFailure {
+function createExpiryRefusal ({ job }: WaitingJob, now: number): RuledFailure {
   return job.deadline <= now
     ? { rule: AdmissionRule.Deadline, failure: Failure.notRun(FailureCode.DeadlinePassed, 'The deadline passed while the request waited.') }
     : { rule: AdmissionRule.Unreachable, failure: Failure.notRun(FailureCode.DeadlineUnreachable, 'The request can no longer be answered by its deadline.') }
--- a/packages/foxtaillever-policy/src/schedulerState.ts
+++ b/packages/foxtaillever-policy/src/schedulerState.ts
@@ -1,45 +1,45 @@
-/** State of the decisions for the dump of a process. */
+/** State of the scheduler for the dump of a process. */
 import { Standing } from './servers/serverHealth.js'
 import type { Server } from './servers/server.js'
 
 /** One backend server as this instance sees it. */
 export interface ServerSummary {
   readonly outstanding: number
-  /** Requests of all instances, from the last report and own sends since. */
+  /** Requests of all instances, from the last report and the sends since. */
   readonly occupancy: number
   readonly room: number
-  /** Times slower than its peers. */
+  /** How many times slower than its peers; 1 when it is not slower. */
   readonly slowness: number
   readonly standing: Standing
-  /** Next probe of an ejected server, milliseconds of Unix time; 0 when open. */
+  /** Time of the next probe of an ejected server, milliseconds of Unix time; 0 when the server is open. */
   readonly probeAt: number
   readonly leaving: boolean
   readonly incarnation: string
 }
 
-/** Plain data, bounded by the servers and the rules. */
+/** Plain data; its size is bounded by the number of servers and rules. */
 export interface SchedulerState {
   readonly waiting: number
   readonly running: number
   readonly outstanding: Readonly<Record<string, number>>
   readonly leaving: readonly string[]
   readonly servers: Readonly<Record<string, ServerSummary>>
-  /** Prefixes known; bounded. */
+  /** Number of known prefixes, which is bounded. */
   readonly prefixes: number
   readonly suspects: number
   readonly retriesLeft: number
-  /** Cost served a millisecond while jobs wait. */
+  /** Served cost a millisecond while jobs wait. */
   readonly drainRate: number
   readonly refusedByRule: Readonly<Record<string, number>>
 }
 
-/** What the scheduler hands over for its dump. */
+/** Input from which the dump is made. */
 export interface DumpInput extends Pick<SchedulerState, 'waiting' | 'running' | 'prefixes' | 'suspects' | 'retriesLeft' | 'drainRate' | 'refusedByRule'> {
   readonly servers: readonly Server[]
   readonly now: number
 }
 
-function summarize (server: Server, now: number): ServerSummary {
+function summarizeServer (server: Server, now: number): ServerSummary {
   const { health, load } = server
   return {
     outstanding: load.outstanding,
@@ -58,6 +58,6 @@
     ...counts,
     outstanding: Object.fromEntries(servers.map(({ name, load }) => [name, load.outstanding])),
     leaving: servers.filter(({ leaving }) => leaving).map(({ name }) => name),
-    servers: Object.fromEntries(servers.map(server => [server.name, summarize(server, now)]))
+    servers: Object.fromEntries(servers.map(server => [server.name, summarizeServer(server, now)]))
   }
 }
--- a/packages/foxtaillever-router/src/core/routerCore.ts
+++ b/packages/foxtaillever-router/src/core/routerCore.ts
@@ -7,7 +7,7 @@
   Failure, FailureCode, ListedKind, Verdict,
   type Configuration, type ListedInstance, type LoadReport, type StreamEnd, type StreamStart
 } from 'foxtaillever-core'
-import { Scheduler, Sequel, type Assignment, type Refusal } from 'foxtaillever-policy'
+import { Scheduler, FailureOutcome, type Assignment, type Refusal } from 'foxtaillever-policy'
 import { Attempts, isMerelyRestarted } from './attempts.js'
 import { checkClaimable, noClaims } from './claimDesk.js'
 import { ClaimStep } from './claimStep.js'
@@ -109,18 +109,18 @@
     const now = this.options.clock.now()
     this.words.observeLoad(server, report, now)
     this.tellState(server)
-    this.scheduler.observeLoad(server, report, now)
+    this.scheduler.applyLoadReport(server, report, now)
   }
 
   private tellState (server: string): void {
-    this.scheduler.observeListed(server, this.words.stateOf(server), this.options.clock.now())
+    this.scheduler.applyListedState(server, this.words.stateOf(server), this.options.clock.now())
   }
 
   /** Takes a request in; every outcome, refusals too, goes to the responder. */
   submit (submission: Submission, responder: Responder): void {
     this.observer.arrived(submission.job)
     checkClaimable(submission, this.options.claims)
-      .chain(() => this.scheduler.offer(submission.job, this.options.clock.now()))
+      .chain(() => this.scheduler.submitJob(submission.job, this.options.clock.now()))
       .caseOf({
         Left: failure => {
           this.observer.refused(submission.job, failure.code, failure)
@@ -179,7 +179,7 @@
 
   private withdraw (row: RequestRow): void {
     if (row.isScheduled) {
-      this.scheduler.withdraw(row.submission.job.id)
+      this.scheduler.withdrawJob(row.submission.job.id)
     }
   }
 
@@ -205,7 +205,7 @@
   private assign (assignment: Assignment): void {
     const row = this.requests.find(assignment.jobId)
     if (!row) {
-      this.scheduler.withdraw(assignment.jobId)
+      this.scheduler.withdrawJob(assignment.jobId)
       return
     }
     this.observer.assigned(row.submission.job, assignment)
@@ -234,7 +234,7 @@
 
   private onStarted (row: RequestRow, start: StreamStart): void {
     if (row.isScheduled) {
-      this.scheduler.started(row.submission.job.id, start, this.options.clock.now())
+      this.scheduler.recordStart(row.submission.job.id, start, this.options.clock.now())
     }
     // Headers go out once, however many tries and resumes the answer takes.
     const position = positionOf(row, start)
@@ -250,7 +250,7 @@
   private onToken (row: RequestRow, sequence: number, data: string): void {
     if (sequence === 1 && row.isScheduled) {
       this.observer.firstToken(row.submission.job, row.server)
-      this.scheduler.firstToken(row.submission.job.id, this.options.clock.now())
+      this.scheduler.recordFirstToken(row.submission.job.id, this.options.clock.now())
       // A prefill has ended; a job that was held back for it may go now.
       this.loop.wake()
     }
@@ -261,7 +261,7 @@
 
   private onFinished (row: RequestRow, end: StreamEnd): void {
     if (row.isScheduled) {
-      this.scheduler.finished(row.submission.job.id, end, this.options.clock.now())
+      this.scheduler.recordFinish(row.submission.job.id, end, this.options.clock.now())
     }
     this.requests.close(row, Verdict.Ran)
     this.observer.finished(row.submission.job, row.server, end)
@@ -280,8 +280,8 @@
       return
     }
     row.verdict = worseVerdict(row.verdict, failure.verdict)
-    const sequel = row.isScheduled ? this.scheduler.failed(row.submission.job.id, failure, now) : Sequel.GivenUp
-    if (sequel === Sequel.GivenUp) {
+    const sequel = row.isScheduled ? this.scheduler.recordFailure(row.submission.job.id, failure, now) : FailureOutcome.Failed
+    if (sequel === FailureOutcome.Failed) {
       this.requests.fail(row, failure)
       return
     }
--- a/packages/foxtaillever-router/src/instance/softStateExchange.ts
+++ b/packages/foxtaillever-router/src/instance/softStateExchange.ts
@@ -53,14 +53,14 @@
     const { clock, fleet, scheduler, name } = this.options
     const now = clock.now()
     const members = fleet.members()
-    scheduler.observeInstances(members.length, Math.max(0, members.findIndex(member => member.name === name)))
+    scheduler.setInstances(members.length, Math.max(0, members.findIndex(member => member.name === name)))
     this.tellDemand(now)
     this.tellSuspects(now)
     this.cancel = clock.at(now + PERIOD_MS, () => this.tick())
   }
 
   private tellDemand (now: number): void {
-    const demands = this.options.scheduler.demandToShare(now)
+    const demands = this.options.scheduler.demandToAnnounce(now)
     if (demands.length > 0) {
       const value = demands.map(({ account, tokensPerSecond }) => [account, Math.round(tokensPerSecond)])
       this.options.fleet.share(FactKind.AccountDemand, DEMAND_KEY, value, now + DEMAND_KEPT_MS)
@@ -68,7 +68,7 @@
   }
 
   private tellSuspects (now: number): void {
-    for (const fact of this.options.scheduler.suspectsToShare(now)) {
+    for (const fact of this.options.scheduler.suspectsToAnnounce(now)) {
       const text = JSON.stringify(fact)
       const told = this.told.get(fact.fingerprint)
       if (!told || told.again <= now || told.text !== text) {
@@ -95,6 +95,6 @@
 }
 
 const factHandlers: Partial<Record<FactKind, FactHandler>> = {
-  [FactKind.AccountDemand]: (scheduler, fact) => scheduler.observeDemand(fact.source, readDemands(fact.value), fact.deadline),
-  [FactKind.Suspect]: (scheduler, fact, now) => scheduler.observeSuspects([fact.value as SuspectFact], now)
+  [FactKind.AccountDemand]: (scheduler, fact) => scheduler.applyPeerDemand(fact.source, readDemands(fact.value), fact.deadline),
+  [FactKind.Suspect]: (scheduler, fact, now) => scheduler.applySuspects([fact.value as SuspectFact], now)
 }
