--- a/packages/foxtaillever-policy/src/attempts/attemptTable.ts
+++ b/packages/foxtaillever-policy/src/attempts/attemptTable.ts
@@ -54,10 +54,10 @@
     return this.attempts.get(jobId)
   }
 
-  add (attempt: Attempt): void {
+  addAttempt (attempt: Attempt): void {
     const { server, sentAt, entry } = attempt
     this.attempts.set(entry.job.id, attempt)
-    this.shares.add(entry)
+    this.shares.addJob(entry)
     server.load.addRequest(attempt.pendingTokens, attempt.reportableTokens, sentAt)
     server.pendingAnswers.set(entry.job.id, { sentAt, expectedMs: attempt.expectedMs })
     server.longRunning += attempt.isLong ? 1 : 0
@@ -100,13 +100,13 @@
     if (attempt.firstTokenAt > 0 && end.completionTokens >= MIN_DECODED_TOKENS) {
       server.health.recordAnswer(now - attempt.firstTokenAt, end.completionTokens * server.stepMs(), now)
     }
-    this.remove(attempt, now)
+    this.removeAttempt(attempt, now)
   }
 
   /** @param ejectedShare maximum share of the peers ejected at once, 0 to 1. */
   recordFailure (attempt: Attempt, failure: Failure, ejectedShare: number, now: number): void {
     const { server } = attempt
-    this.remove(attempt, now)
+    this.removeAttempt(attempt, now)
     if (failure.code === FailureCode.Leaving) {
       this.fleet.setStatedLeaving(server, true)
     }
@@ -119,10 +119,10 @@
   }
 
   /** Removes the attempt from the table and from its server's counts. */
-  remove (attempt: Attempt, now: number): void {
+  removeAttempt (attempt: Attempt, now: number): void {
     const { server, entry } = attempt
     this.attempts.delete(entry.job.id)
-    this.shares.remove(entry)
+    this.shares.removeJob(entry)
     server.pendingAnswers.delete(entry.job.id)
     this.placer.endPrefill(entry.job.id, attempt.placement)
     this.setPendingTokens(attempt, 0, 0, now)
--- a/packages/foxtaillever-policy/src/order/fairClass.ts
+++ b/packages/foxtaillever-policy/src/order/classQueue.ts
@@ -25,7 +25,7 @@
 /** Entries of jobs that are gone which a heap may hold before it is cleaned. */
 const MAX_GONE_ENTRIES = 64
 
-export class FairClass {
+export class ClassQueue {
   private readonly jobsByTurn = Heap.create<WaitingJob>((a, b) => a.turn < b.turn || (a.turn === b.turn && a.sequence < b.sequence))
   private readonly accounts = new Map<string, AccountQueue>()
   private virtualTime = 0
@@ -39,8 +39,8 @@
 
   private constructor () {}
 
-  static create (): FairClass {
-    return new FairClass()
+  static create (): ClassQueue {
+    return new ClassQueue()
   }
 
   add (entry: WaitingJob): void {
--- a/packages/foxtaillever-policy/src/order/dispatcher.ts
+++ b/packages/foxtaillever-policy/src/order/dispatcher.ts
@@ -113,7 +113,7 @@
   /** Servers for which jobs are held in this pass. */
   private readonly awaitedServers = new Set<Server>()
   /** Index of the server where room was found last; usually it still has room. */
-  private nextServerIndex = 0
+  private lastOpenIndex = 0
   private readonly recentPriorityJobs = DecayingRate.create(PRIORITY_DECAY_MS)
 
   private constructor (private readonly options: DispatcherOptions) {}
@@ -147,10 +147,10 @@
   private hasRoom (now: number): boolean {
     const servers = this.options.fleet.list()
     for (let step = 0; step < servers.length; step += 1) {
-      const index = (this.nextServerIndex + step) % servers.length
+      const index = (this.lastOpenIndex + step) % servers.length
       const server = servers[index] as Server
       if (server.load.occupancy(now) < server.room(now) * OVERCOMMIT_FACTOR) {
-        this.nextServerIndex = index
+        this.lastOpenIndex = index
         return true
       }
     }
--- a/packages/foxtaillever-policy/src/order/fairQueue.ts
+++ b/packages/foxtaillever-policy/src/order/fairQueue.ts
@@ -9,13 +9,13 @@
  * lower classes get the floor's share of the served cost, and no more.
  */
 import { PriorityClass } from 'foxtaillever-core'
-import { FairClass } from './fairClass.js'
+import { ClassQueue } from './classQueue.js'
 import type { WaitingJob } from './waitingJob.js'
 
 const classOrder = [PriorityClass.Priority, PriorityClass.Standard, PriorityClass.Bulk]
 
 export class FairQueue {
-  private readonly classes = new Map(classOrder.map(name => [name, FairClass.create()]))
+  private readonly classes = new Map(classOrder.map(name => [name, ClassQueue.create()]))
   /** For each class, the cost that the classes below it are owed, milliseconds. */
   private readonly owedCost = classOrder.map(() => 0)
   private floorShare = 0
@@ -31,8 +31,8 @@
     return classOrder.reduce((sum, name) => sum + this.classOf(name).size, 0)
   }
 
-  classOf (name: PriorityClass): FairClass {
-    return this.classes.get(name) as FairClass
+  classOf (name: PriorityClass): ClassQueue {
+    return this.classes.get(name) as ClassQueue
   }
 
   setFloorShare (share: number): void {
@@ -99,7 +99,7 @@
     }
   }
 
-  private pickClass (rank: number): FairClass | undefined {
+  private pickClass (rank: number): ClassQueue | undefined {
     const own = this.classOf(classOrder[rank] as PriorityClass)
     const below = rank + 1 < classOrder.length ? this.pickClass(rank + 1) : undefined
     if (!own.hasNext()) {
--- a/packages/foxtaillever-policy/src/order/runningShares.ts
+++ b/packages/foxtaillever-policy/src/order/runningShares.ts
@@ -31,7 +31,7 @@
     return new RunningShares()
   }
 
-  add ({ job, weight }: WaitingJob): void {
+  addJob ({ job, weight }: WaitingJob): void {
     this.jobs += 1
     const running = this.accounts.get(job.account)
     if (running) {
@@ -42,7 +42,7 @@
     this.accounts.set(job.account, { jobs: 1, weight })
   }
 
-  remove ({ job }: WaitingJob): void {
+  removeJob ({ job }: WaitingJob): void {
     const running = this.accounts.get(job.account)
     if (!running) {
       return
--- a/packages/foxtaillever-policy/src/order/waitingJobs.ts
+++ b/packages/foxtaillever-policy/src/order/waitingJobs.ts
@@ -30,7 +30,7 @@
     return this.jobs.get(jobId)
   }
 
-  add (entry: WaitingJob, now: number): void {
+  addJob (entry: WaitingJob, now: number): void {
     this.jobs.set(entry.job.id, entry)
     this.byLatestStart.push(entry)
     if (entry.notBefore > now) {
@@ -42,7 +42,7 @@
   }
 
   /** Removes a job that was not sent. */
-  remove (entry: WaitingJob): void {
+  removeJob (entry: WaitingJob): void {
     this.jobs.delete(entry.job.id)
     if (this.pausedJobs.delete(entry)) {
       entry.gone = true
@@ -76,7 +76,7 @@
     for (let entry = this.byLatestStart.peek(); entry && (entry.gone || entry.latestStart <= now); entry = this.byLatestStart.peek()) {
       this.byLatestStart.pop()
       if (!entry.gone) {
-        this.remove(entry)
+        this.removeJob(entry)
         expired.push(entry)
       }
     }
--- a/packages/foxtaillever-policy/src/scheduler.ts
+++ b/packages/foxtaillever-policy/src/scheduler.ts
@@ -149,12 +149,12 @@
   withdrawJob (jobId: string): void {
     const waiting = this.waitingJobs.get(jobId)
     if (waiting) {
-      this.waitingJobs.remove(waiting)
+      this.waitingJobs.removeJob(waiting)
       this.intake.refundUnusedTokens(waiting, 0)
     }
     const attempt = this.attempts.get(jobId)
     if (attempt) {
-      this.attempts.remove(attempt, this.now)
+      this.attempts.removeAttempt(attempt, this.now)
       this.intake.refundUnusedTokens(attempt.entry, attempt.entry.tokens)
     }
   }
@@ -224,7 +224,7 @@
       return FailureOutcome.Failed
     }
     const failedAt = [...entry.failedAt, server.name]
-    this.waitingJobs.add({ ...entry, failedAt, attempts: entry.attempts + 1, notBefore, holdUntil: Infinity, gone: false }, now)
+    this.waitingJobs.addJob({ ...entry, failedAt, attempts: entry.attempts + 1, notBefore, holdUntil: Infinity, gone: false }, now)
     return FailureOutcome.Retried
   }
 
@@ -257,7 +257,7 @@
     this.waitingJobs.recordSent(entry)
     this.intake.drain.recordSent(entry.cost)
     this.placer.recordSend(entry.job.id, placement, entry.decodeMs / placement.server.configured.slots, now)
-    this.attempts.add(attempt)
+    this.attempts.addAttempt(attempt)
     this.assignments.push({ jobId: entry.job.id, server: placement.server.name, candidates: placement.candidates, rule: this.preset.placement })
   }
 
@@ -270,7 +270,7 @@
   }
 
   private refuseWaitingJob (entry: WaitingJob, refusal: RuledFailure): void {
-    this.waitingJobs.remove(entry)
+    this.waitingJobs.removeJob(entry)
     this.refuseJob(entry, refusal)
   }
 
@@ -281,7 +281,7 @@
 
   private addJob (entry: WaitingJob, now: number): void {
     this.budget.addFirstTry(this.preset.retryShare)
-    this.waitingJobs.add(entry, now)
+    this.waitingJobs.addJob(entry, now)
   }
 
   private countRefusal ({ rule, failure }: RuledFailure): Failure {
