--- /dev/null
+++ b/packages/foxtaillever-policy/src/order/classQueue.ts
@@ -0,0 +1,160 @@
+/**
+ * Weighted fair queue of the jobs of one priority class, by client account:
+ * start-time fair queueing. The turn of a job is its virtual start time: the
+ * virtual time at which the account's earlier jobs have been served, where each
+ * unit of cost counts 1 / weight. An account that floods the class delays only
+ * its own jobs.
+ */
+import { Heap } from '../collections/heap.js'
+import type { WaitingJob } from './waitingJob.js'
+
+interface AccountQueue {
+  /** Turn of the account's next job. */
+  nextTurn: number
+  waiting: number
+  work: number
+  weight: number
+  /** In order of arrival; jobs that are gone are removed now and then. */
+  jobs: WaitingJob[]
+}
+
+function loadOf (account: AccountQueue): number {
+  return account.work / account.weight
+}
+
+/** Entries of jobs that are gone which a heap may hold before it is cleaned. */
+const MAX_GONE_ENTRIES = 64
+
+export class ClassQueue {
+  private readonly jobsByTurn = Heap.create<WaitingJob>((a, b) => a.turn < b.turn || (a.turn === b.turn && a.sequence < b.sequence))
+  private readonly accounts = new Map<string, AccountQueue>()
+  private virtualTime = 0
+  private sequence = 0
+  /** Waiting jobs. */
+  size = 0
+  /** Cost of the waiting jobs, milliseconds of a server's slot. */
+  work = 0
+  /** Sum of the weights of accounts with waiting jobs. */
+  activeWeight = 0
+
+  private constructor () {}
+
+  static create (): ClassQueue {
+    return new ClassQueue()
+  }
+
+  add (entry: WaitingJob): void {
+    const account = this.accountOf(entry)
+    const isRetry = entry.attempts > 0
+    entry.turn = isRetry ? this.virtualTime : Math.max(this.virtualTime, account.nextTurn)
+    entry.sequence = this.sequence++
+    if (!isRetry) {
+      account.nextTurn = entry.turn + entry.cost / entry.weight
+    }
+    this.activeWeight += account.waiting === 0 ? entry.weight : 0
+    this.updateCounts(account, entry, 1)
+    account.jobs.push(entry)
+    if (account.jobs.length > 2 * account.waiting + MAX_GONE_ENTRIES) {
+      account.jobs = account.jobs.filter(({ gone }) => !gone)
+    }
+    this.jobsByTurn.push(entry)
+  }
+
+  /** Removes a job that was not sent, without charging its account. */
+  remove (entry: WaitingJob): void {
+    const account = this.removeFromAccount(entry)
+    if (entry.attempts === 0) {
+      account.nextTurn -= entry.cost / entry.weight
+    }
+    this.pruneAccount(entry.job.account, account)
+  }
+
+  /** Records that the job was sent. */
+  recordSent (entry: WaitingJob): void {
+    this.virtualTime = Math.max(this.virtualTime, entry.turn)
+    this.pruneAccount(entry.job.account, this.removeFromAccount(entry))
+  }
+
+  /** Removes the next job in fair order from the heap; `putBack` returns it. */
+  takeNext (): WaitingJob | undefined {
+    this.dropGoneJobs()
+    return this.jobsByTurn.pop()
+  }
+
+  hasNext (): boolean {
+    this.dropGoneJobs()
+    return this.jobsByTurn.size > 0
+  }
+
+  putBack (entry: WaitingJob): void {
+    this.jobsByTurn.push(entry)
+  }
+
+  workOf (account: string): number {
+    return this.accounts.get(account)?.work ?? 0
+  }
+
+  waitingOf (account: string): number {
+    return this.accounts.get(account)?.waiting ?? 0
+  }
+
+  /** Corrects the charge of the account once the actual cost is known. */
+  correctCharge (account: string, difference: number, weight: number): void {
+    const queue = this.accounts.get(account)
+    if (queue) {
+      queue.nextTurn += difference / weight
+    }
+  }
+
+  /** The latest job of the account with the most waiting work for its weight. */
+  lastJobOfHeaviestAccount (): WaitingJob | undefined {
+    let heaviest: AccountQueue | undefined
+    for (const account of this.accounts.values()) {
+      if (account.waiting > 0 && loadOf(account) > (heaviest ? loadOf(heaviest) : 0)) {
+        heaviest = account
+      }
+    }
+    return heaviest?.jobs.findLast(entry => !entry.gone)
+  }
+
+  private removeFromAccount (entry: WaitingJob): AccountQueue {
+    const account = this.accountOf(entry)
+    entry.gone = true
+    this.updateCounts(account, entry, -1)
+    this.activeWeight -= account.waiting === 0 ? entry.weight : 0
+    return account
+  }
+
+  private updateCounts (account: AccountQueue, entry: WaitingJob, sign: 1 | -1): void {
+    account.waiting += sign
+    account.work += sign * entry.cost
+    this.size += sign
+    this.work += sign * entry.cost
+  }
+
+  private accountOf ({ job, weight }: WaitingJob): AccountQueue {
+    const known = this.accounts.get(job.account)
+    if (known) {
+      return known
+    }
+    const account = { nextTurn: this.virtualTime, waiting: 0, work: 0, weight, jobs: [] }
+    this.accounts.set(job.account, account)
+    return account
+  }
+
+  /** Removes the entry of an account without waiting jobs whose charge has been worked off. */
+  private pruneAccount (name: string, account: AccountQueue): void {
+    if (account.waiting === 0 && account.nextTurn <= this.virtualTime) {
+      this.accounts.delete(name)
+    }
+  }
+
+  private dropGoneJobs (): void {
+    while (this.jobsByTurn.peek()?.gone) {
+      this.jobsByTurn.pop()
+    }
+    if (this.jobsByTurn.size > 2 * this.size + MAX_GONE_ENTRIES) {
+      this.jobsByTurn.filter(entry => !entry.gone)
+    }
+  }
+}
