--- a/packages/foxtaillever-proof/src/platformSoak/__tests__/serverPromises.test.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/__tests__/serverPromises.test.ts
@@ -89,7 +89,7 @@
       await outages.during(async () => {}, outage)
     }
     const arrivals = given.map(({ at, isLeaving = false, restMs = 0 }, index) => ({ requestId: `q${index}`, at, startedAt: 1, answer: { at, isLeaving, restMs } }))
-    const sent = given.map(({ at, isLeaving }, index) => ({ id: `q${index}`, instance: 0, sentAt: at, toldLeavingAt: isLeaving === true ? at : undefined }))
+    const sent = given.map(({ at, isLeaving }, index) => ({ id: `q${index}`, instance: 0, sentAt: at, leavingReceivedAt: isLeaving === true ? at : undefined }))
     const fleet = { platform: { servers: [{ id: 's', arrivals }] }, instances: [{ address: 'a' }] } as unknown as SoakedFleet
     return statementComplaints(fleet, sent, outages, cuts)
   }
--- a/packages/foxtaillever-proof/src/platformSoak/platformLoad.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/platformLoad.ts
@@ -1,7 +1,7 @@
 /** Requests of a soak, and what may be said against each once all is quiet. */
 import type { Random } from 'foxtaillever-core'
 import type { CallerReply } from 'foxtaillever-platform/__fixtures__/caller'
-import { requestOf, type SentRequest } from 'foxtaillever-platform/__fixtures__/statementOracle'
+import { sentRequestOf, type SentRequest } from 'foxtaillever-platform/__fixtures__/statementOracle'
 import { Path, promptHeaders, wholeStream } from 'foxtaillever-platform/__fixtures__/relayFleet'
 import type { Disturbances } from './disturbances.js'
 import type { SoakedFleet } from './soakedFleet.js'
@@ -61,7 +61,7 @@
     const key = this.drawKey()
     const at = fleet.clock.now()
     const leaveAfterMs = random.next() < LEAVING ? LEAVE_AFTER_MS : undefined
-    const reply = await fleet.caller.send({ address, id, path: `${path}x`, key, headers, body: 'a body', patienceMs: PATIENCE_MS, leaveAfterMs })
+    const reply = await fleet.caller.send({ address, id, path: `${path}x`, key, headers, body: 'a body', patienceMs: PATIENCE_MS, disconnectAfterMs: leaveAfterMs })
     this.sent.push({ id, path, key, instance, at, answeredAt: fleet.clock.now(), reply })
   }
 
@@ -76,7 +76,7 @@
 
   /** All of them, for oracles. */
   get requests (): readonly SentRequest[] {
-    return this.sent.map(({ at: sentAt, reply: { headers }, ...sent }) => requestOf({ ...sent, sentAt, headers }))
+    return this.sent.map(({ at: sentAt, reply: { headers }, ...sent }) => sentRequestOf({ ...sent, sentAt, headers }))
   }
 
   /** Ends of requests by status; 0 for those without an answer. */
--- a/packages/foxtaillever-proof/src/platformSoak/serverPromises.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/serverPromises.ts
@@ -1,6 +1,6 @@
 /** Promises of a soak that servers alone can judge: whom they ran, on which cached levels, and who ordered them. */
-import { allowedInWindow, BINDING_MS, countWindows, WINDOW_MS } from 'foxtaillever-platform/__fixtures__/limitedServers'
-import { leavingComplaints, restComplaints, type SentRequest } from 'foxtaillever-platform/__fixtures__/statementOracle'
+import { allowedInWindow, ENFORCED_AFTER_MS, countWindows, WINDOW_MS } from 'foxtaillever-platform/__fixtures__/requestWindows'
+import { leavingViolations, backoffViolations, type SentRequest } from 'foxtaillever-platform/__fixtures__/statementOracle'
 import type { TakenOrder } from 'foxtaillever-standins'
 import type { Disturbances } from './disturbances.js'
 import type { SoakedFleet } from './soakedFleet.js'
@@ -21,10 +21,10 @@
   return operator.rates.flatMap(({ server, perSecond, from, until }) => {
     const most = allowedInWindow(perSecond)
     const times = server.arrivals
-      .filter(({ at, statedLimit }) => statedLimit === String(perSecond) && at >= from + BINDING_MS && at <= until)
+      .filter(({ at, statedLimit }) => statedLimit === String(perSecond) && at >= from + ENFORCED_AFTER_MS && at <= until)
       .map(({ at }) => at)
     return countWindows(times)
-      .filter(({ from: at, count }) => count > most && outages.wasCalm(at - BINDING_MS, at + WINDOW_MS))
+      .filter(({ from: at, count }) => count > most && outages.wasCalm(at - ENFORCED_AFTER_MS, at + WINDOW_MS))
       .map(({ from: at, count }) => `${server.id} got ${count} requests in ${WINDOW_MS} ms from ${at - from} ms after it stated ${perSecond} a second on`)
   })
 }
@@ -33,8 +33,8 @@
 export function statementComplaints ({ platform, instances }: Pick<SoakedFleet, 'platform' | 'instances'>, sent: readonly SentRequest[], outages: Disturbances, cuts: Disturbances): string[] {
   const ranOn = (instance: number, from: number, until: number): boolean => outages.wasCalm(from, until, instances[instance]?.address)
   return platform.servers.flatMap(server => [
-    ...leavingComplaints(server, sent, ranOn),
-    ...restComplaints(server, sent, (instance, from, until) => ranOn(instance, from, until) && cuts.wasCalm(from, until))
+    ...leavingViolations(server, sent, ranOn),
+    ...backoffViolations(server, sent, (instance, from, until) => ranOn(instance, from, until) && cuts.wasCalm(from, until))
   ])
 }
 
