--- a/packages/foxtaillever-fleet/src/claims/__tests__/claimKeeper.test.ts
+++ b/packages/foxtaillever-fleet/src/claims/__tests__/claimKeeper.test.ts
@@ -112,11 +112,11 @@
       await fleet.pass(10)
       const refused = fleet.ask(one, { idempotencyKey: 'order' })
       await fleet.pass(22)
-      one.log.isCut = true
+      one.log.isPartitioned = true
       await fleet.pass(5000)
       t.is(nameResult(refused), 'log_unavailable not_run')
       t.truthy(other.fold.find(JSON.stringify(['cooperative', 'order'])))
-      one.log.isCut = false
+      one.log.isPartitioned = false
       await fleet.pass(5000)
       const again = fleet.ask(other, { idempotencyKey: 'order' })
       await fleet.pass()
--- a/packages/foxtaillever-fleet/src/leases/__tests__/lease.test.ts
+++ b/packages/foxtaillever-fleet/src/leases/__tests__/lease.test.ts
@@ -65,7 +65,7 @@
       return t.fail('No one holds the lease.')
     }
     const firstFence = first.holder.check().orDefault(0)
-    first.log.isCut = true
+    first.log.isPartitioned = true
     t.is(await fleet.pass(3 * LEASE_TERM_MS, members), 1)
     t.false(first.holder.isHeld())
     t.true(other.holder.check().orDefault(0) > firstFence)
@@ -79,7 +79,7 @@
     await fleet.pass(1000, [member])
     t.true(member.holder.isHeld())
     member.isPaused = true
-    member.log.isCut = true
+    member.log.isPartitioned = true
     await fleet.clock.advanceBy(15_000)
     t.true(member.holder.check().isLeft())
   })
--- a/packages/foxtaillever-fleet/src/leases/__tests__/orderSystem.test.ts
+++ b/packages/foxtaillever-fleet/src/leases/__tests__/orderSystem.test.ts
@@ -107,7 +107,7 @@
     }
     await rig.clock.advanceBy(600)
     if (holder) {
-      holder.log.isCut = true
+      holder.log.isPartitioned = true
     }
     await rig.clock.advanceBy(4 * LEASE_TERM_MS)
     t.deepEqual([...rig.engines.values()].map(engine => engine.state().weightsVersion), Array(6).fill('v2'))
--- a/packages/foxtaillever-load/src/deployment/embeddedDeployment.ts
+++ b/packages/foxtaillever-load/src/deployment/embeddedDeployment.ts
@@ -133,7 +133,7 @@
   }
 
   private enlist (instance: ListedInstance): void {
-    this.list.put(instance)
+    this.list.setInstance(instance)
   }
 
   private describeServer (name: string, kind: ServerKind, address: string, index: number, models: readonly string[]): BackendServer {
--- a/packages/foxtaillever-proof/src/commands/faultCommands.ts
+++ b/packages/foxtaillever-proof/src/commands/faultCommands.ts
@@ -59,7 +59,7 @@
     createCommand(`cutLog(${index}, ${isCut})`, world => {
       const entry = world.entries[index]
       if (entry) {
-        entry.log.isCut = isCut
+        entry.log.isPartitioned = isCut
       }
     }))
   const cutHolder = fc.integer({ min: LEASE_TERM_MS, max: LEASE_TERM_MS + 3000 }).map(ms =>
--- a/packages/foxtaillever-proof/src/platformSoak/__tests__/serverPromises.test.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/__tests__/serverPromises.test.ts
@@ -1,10 +1,10 @@
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
-import { PartCache, TokenEngine, type PartUse, type TakenOrder, type TokenRun } from 'foxtaillever-standins'
+import { PartCache, TokenEngine, type PartUse, type AcceptedOrder, type TokenRun } from 'foxtaillever-standins'
 import { Disturbances } from '../disturbances.js'
 import { limitComplaints, serverComplaints, statementComplaints } from '../serverPromises.js'
 import type { SoakedFleet } from '../soakedFleet.js'
 
-const ENGINE = { slots: 4, mostWaiting: 4, memoryTokens: 10_000, stepMs: 1, readTokensPerMs: 100, pieceTokens: 1000 }
+const ENGINE = { slots: 4, maxWaiting: 4, memoryTokens: 10_000, stepMs: 1, prefillTokensPerMs: 100, chunkTokens: 1000 }
 
 function createRun (requestId: string, changes: Partial<TokenRun> = {}): TokenRun {
   return {
@@ -24,13 +24,13 @@
   return other?.uses ?? []
 }
 
-function complaintsOf (seen: { readonly uses?: readonly PartUse[], readonly taken?: readonly TakenOrder[] }): string[] {
+function complaintsOf (seen: { readonly uses?: readonly PartUse[], readonly taken?: readonly AcceptedOrder[] }): string[] {
   const { uses = [], taken = [] } = seen
-  const fleet = { operator: { drains: [] }, platform: { partUses: () => uses, takenOrders: () => [...taken] } } as unknown as SoakedFleet
+  const fleet = { operator: { drains: [] }, platform: { partUses: () => uses, acceptedOrders: () => [...taken] } } as unknown as SoakedFleet
   return serverComplaints(fleet, Disturbances.create(() => 0))
 }
 
-function order (holder: string, fence: number, at: number): TakenOrder {
+function order (holder: string, fence: number, at: number): AcceptedOrder {
   return { holder, fence, at, model: 'm1', version: 2 }
 }
 
@@ -88,7 +88,7 @@
       now = 1000
       await outages.during(async () => {}, outage)
     }
-    const arrivals = given.map(({ at, isLeaving = false, restMs = 0 }, index) => ({ requestId: `q${index}`, at, startedAt: 1, answer: { at, isLeaving, restMs } }))
+    const arrivals = given.map(({ at, isLeaving = false, restMs = 0 }, index) => ({ requestId: `q${index}`, at, startedAt: 1, answer: { at, isLeaving, backoffMs: restMs } }))
     const sent = given.map(({ at, isLeaving }, index) => ({ id: `q${index}`, instance: 0, sentAt: at, leavingReceivedAt: isLeaving === true ? at : undefined }))
     const fleet = { platform: { servers: [{ id: 's', arrivals }] }, instances: [{ address: 'a' }] } as unknown as SoakedFleet
     return statementComplaints(fleet, sent, outages, cuts)
--- a/packages/foxtaillever-proof/src/platformSoak/platformFaults.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/platformFaults.ts
@@ -121,7 +121,7 @@
     const { fleet: { platform }, random, disturbances } = context
     const copy = platform.store.copy()
     await rest(context, OLDEST_COPY_MS)
-    await disturbances.during(async () => await platform.restoreStore({ copy, awayMs: random.below(LONGEST_AWAY_MS), rewrittenMs: random.below(LONGEST_REWRITE_MS) }))
+    await disturbances.during(async () => await platform.restoreStore({ copy, outageMs: random.below(LONGEST_AWAY_MS), rewriteDelayMs: random.below(LONGEST_REWRITE_MS) }))
   },
   'forget the history': async ({ fleet }) => fleet.platform.store.compact(),
   // Each is taken by one request; with one at a single server, few requests of a short run would meet one.
@@ -143,7 +143,7 @@
   'replace a server': replaceServer,
   'disturb the links': async ({ fleet, random, cuts }) => {
     const fault = draw(random, Object.values(LinkFault))
-    await cuts.during(async () => fleet.platform.links.forEach(link => link.strike(fault)))
+    await cuts.during(async () => fleet.platform.links.forEach(link => link.injectFault(fault)))
   },
   'empty the cache store': async ({ fleet }) => fleet.operator.clearCacheStore(),
   'name new weights': async ({ fleet }) => fleet.operator.nameWeights(),
--- a/packages/foxtaillever-proof/src/platformSoak/runPlatformSoak.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/runPlatformSoak.ts
@@ -57,7 +57,7 @@
     await fleet.waitUntilConfigured()
     await fleet.waitUntilSettled()
     const { platform, operator } = fleet
-    const seen = { cachedLevelsUsed: platform.partUses().length, orders: platform.takenOrders().length, drains: operator.drains.length, keysTaken: operator.terms.length - 1, limits: operator.rates.length, rests: operator.rests }
+    const seen = { cachedLevelsUsed: platform.partUses().length, orders: platform.acceptedOrders().length, drains: operator.drains.length, keysTaken: operator.terms.length - 1, limits: operator.rates.length, rests: operator.rests }
     return { complaints: [...load.complaints(), ...serverComplaints(fleet, disturbances), ...limitComplaints(fleet, outages), ...statementComplaints(fleet, load.requests, outages, cuts)], outcomes: load.outcomes, faults, seen }
   } finally {
     await fleet.end()
--- a/packages/foxtaillever-proof/src/platformSoak/serverPromises.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/serverPromises.ts
@@ -1,7 +1,7 @@
 /** Promises of a soak that servers alone can judge: whom they ran, on which cached levels, and who ordered them. */
 import { allowedInWindow, ENFORCED_AFTER_MS, countWindows, WINDOW_MS } from 'foxtaillever-platform/__fixtures__/requestWindows'
 import { leavingViolations, backoffViolations, type SentRequest } from 'foxtaillever-platform/__fixtures__/statementOracle'
-import type { TakenOrder } from 'foxtaillever-standins'
+import type { AcceptedOrder } from 'foxtaillever-standins'
 import type { Disturbances } from './disturbances.js'
 import type { SoakedFleet } from './soakedFleet.js'
 import { WALLED } from './soakOperator.js'
@@ -47,7 +47,7 @@
 
 /** Cached levels of other weights, or from behind another account's wall. */
 function cacheComplaints ({ platform }: SoakedFleet): string[] {
-  return platform.partUses().flatMap(({ requestId, account, weightsVersion, part: { id, maker } }) => {
+  return platform.partUses().flatMap(({ requestId, account, weightsVersion, part: { id, origin: maker } }) => {
     const isStale = maker.weightsVersion !== weightsVersion
     const isForeign = maker.account !== account && [maker.account, account].includes(WALLED)
     return [
@@ -59,9 +59,9 @@
 
 /** Orders of two holders under one fencing number, or of one whose lease had gone to another. */
 function orderComplaints ({ platform }: SoakedFleet): string[] {
-  const taken = platform.takenOrders().sort((one, other) => one.at - other.at)
+  const taken = platform.acceptedOrders().sort((one, other) => one.at - other.at)
   const holders = new Map<number, string>()
-  let highest: TakenOrder | undefined
+  let highest: AcceptedOrder | undefined
   return taken.flatMap(order => {
     const { holder, fence } = order
     const known = holders.get(fence) ?? holder
--- a/packages/foxtaillever-proof/src/platformSoak/soakOperator.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/soakOperator.ts
@@ -65,7 +65,7 @@
 
   /** The server turns all requests away and asks for so much rest, seconds; undefined: it is well again. */
   rest (server: BackendServer, seconds: number | undefined): void {
-    server.askedRest = seconds === undefined ? undefined : String(seconds)
+    server.retryAfter = seconds === undefined ? undefined : String(seconds)
     this.rests += seconds === undefined ? 0 : 1
   }
 
--- a/packages/foxtaillever-proof/src/platformSoak/soakedFleet.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/soakedFleet.ts
@@ -81,7 +81,7 @@
 
   private async add (zone: string): Promise<void> {
     const ip = nextHost()
-    const { door, address: store } = await this.platform.openStore()
+    const { storeServer: door, address: store } = await this.platform.openStore()
     const [front, ready] = [`${ip}:${await freePort(ip)}`, `${ip}:${await freePort(ip)}`]
     const name = `instance-${this.instances.length + 1}`
     const path = join(this.folder, `${name}.json`)
--- a/packages/foxtaillever-proof/src/world/world.ts
+++ b/packages/foxtaillever-proof/src/world/world.ts
@@ -81,7 +81,7 @@
   private addEngines (): void {
     for (let index = 0; index < this.options.engines; index++) {
       const name = `engine-${index}`
-      this.list.put({ name, kind: ListedKind.BackendServer, address: name, failureDomain: 'recife', state: ListedState.Live })
+      this.list.setInstance({ name, kind: ListedKind.BackendServer, address: name, failureDomain: 'recife', state: ListedState.Live })
       this.engines.push(EngineHost.create({
         name, models: ['order-language'], weightsVersion: 'v1', slots: 4, prefillTokensPerSecond: 20_000, decodeTokensPerSecond: 20, cacheTokens: 4096, cacheKeptMs: 10_000
       }, this.clock, run => this.oracle.ran(run)))
@@ -231,7 +231,7 @@
     const engine = this.engines[index]
     if (engine) {
       engine.crash(weightsVersion)
-      this.list.put({ name: engine.options.name, kind: ListedKind.BackendServer, address: engine.options.name, failureDomain: 'recife', state: ListedState.Live })
+      this.list.setInstance({ name: engine.options.name, kind: ListedKind.BackendServer, address: engine.options.name, failureDomain: 'recife', state: ListedState.Live })
     }
   }
 
@@ -239,7 +239,7 @@
     const engine = this.engines[index]
     if (engine) {
       engine.leave()
-      this.list.put({ name: engine.options.name, kind: ListedKind.BackendServer, address: engine.options.name, failureDomain: 'recife', state: ListedState.Leaving })
+      this.list.setInstance({ name: engine.options.name, kind: ListedKind.BackendServer, address: engine.options.name, failureDomain: 'recife', state: ListedState.Leaving })
     }
   }
 
@@ -247,9 +247,9 @@
   async cutHolder (milliseconds: number): Promise<void> {
     const holder = this.entries.find(entry => !entry.isDead && entry.holder.isHeld())
     if (holder) {
-      holder.log.isCut = true
+      holder.log.isPartitioned = true
       await this.pass(milliseconds)
-      holder.log.isCut = false
+      holder.log.isPartitioned = false
     }
   }
 
@@ -266,7 +266,7 @@
     this.log.setFaults({ outage: false, slownessMs: 0, lostAnswers: 0 })
     this.engines.forEach(engine => engine.setDown(false))
     this.entries.forEach((entry, index) => {
-      entry.log.isCut = false
+      entry.log.isPartitioned = false
       if (entry.isDead) {
         this.restartEntry(index)
       } else if (entry.isPaused) {
--- a/packages/foxtaillever-standins/src/__tests__/engineModel.test.ts
+++ b/packages/foxtaillever-standins/src/__tests__/engineModel.test.ts
@@ -179,7 +179,7 @@
       t.deepEqual(engines.map(engine => engine.state().weightsVersion), ['v1', 'v1', 'v1', 'v1'])
       await clock.advanceBy(350)
       t.deepEqual(engines.map(engine => engine.state().weightsVersion), ['v2', 'v2', 'v2', 'v2'])
-      t.is(weightStore.mostAtOnce, 4)
+      t.is(weightStore.maxConcurrentLoads, 4)
     })
 
     it('checks fencing numbers and callers only where its settings say so', t => {
--- a/packages/foxtaillever-standins/src/__tests__/platform.test.ts
+++ b/packages/foxtaillever-standins/src/__tests__/platform.test.ts
@@ -31,10 +31,10 @@
   it('shows each change after the lag, in order', async t => {
     const clock = VirtualClock.create()
     const list = InstanceListModel.create(1000, clock)
-    list.put(instance)
+    list.setInstance(instance)
     t.deepEqual(list.list(), [])
     await clock.advanceBy(1000)
-    list.put({ ...instance, state: ListedState.Leaving })
+    list.setInstance({ ...instance, state: ListedState.Leaving })
     t.is(list.list()[0]?.state, ListedState.Live)
     await clock.advanceBy(1000)
     t.is(list.list()[0]?.state, ListedState.Leaving)
--- a/packages/foxtaillever-standins/src/platform/__tests__/link.test.ts
+++ b/packages/foxtaillever-standins/src/platform/__tests__/link.test.ts
@@ -3,14 +3,14 @@
 import { describe, it } from 'foxtaillever-testing'
 import { Link, LinkFault } from '../link.js'
 
-interface Line {
+interface EchoLink {
   readonly link: Link
   readonly open: () => Promise<Socket>
   readonly close: () => void
 }
 
-/** A link to a server that answers with what it hears. */
-async function createLine (): Promise<Line> {
+/** Creates a link to a server that echoes what it receives. */
+async function createEchoLink (): Promise<EchoLink> {
   const sockets: Socket[] = []
   const echo = createServer(socket => {
     sockets.push(socket)
@@ -35,43 +35,43 @@
   return { link, open, close }
 }
 
-async function ask (socket: Socket, word: string): Promise<string> {
-  socket.write(word)
+async function exchange (socket: Socket, text: string): Promise<string> {
+  socket.write(text)
   const [answer] = await once(socket, 'data') as [Buffer]
   return answer.toString()
 }
 
 describe('a link to a server', () => {
-  it('passes bytes on both ways', async t => {
-    const { open, close } = await createLine()
-    t.is(await ask(await open(), 'word'), 'word')
+  it('forwards bytes in both directions', async t => {
+    const { open, close } = await createEchoLink()
+    t.is(await exchange(await open(), 'word'), 'word')
     close()
   })
 
-  // A connection between an instance and a server is reset. The instance hears of it at once.
-  it('resets what is open, and carries new connections', async t => {
-    const { link, open, close } = await createLine()
+  // A connection between an instance and a server is reset. The instance notices it at once.
+  it('resets open connections, and forwards new ones', async t => {
+    const { link, open, close } = await createEchoLink()
     const socket = await open()
-    await ask(socket, 'first')
+    await exchange(socket, 'first')
     const ended = new Promise<void>(resolve => socket.once('close', () => resolve()))
-    link.strike(LinkFault.Reset)
+    link.injectFault(LinkFault.Reset)
     await ended
-    t.is(await ask(await open(), 'second'), 'second')
+    t.is(await exchange(await open(), 'second'), 'second')
     close()
   })
 
-  // A connection stays open and carries nothing any more, so that only a timeout shows it.
-  for (const fault of [LinkFault.Silent, LinkFault.DeafCaller]) {
-    it(`says nothing more on what is open after ${fault}, and carries new connections`, async t => {
-      const { link, open, close } = await createLine()
+  // A connection stays open and forwards nothing, so that only a timeout detects it.
+  for (const fault of [LinkFault.Silent, LinkFault.AnswersLost]) {
+    it(`sends nothing on open connections after ${fault}, and forwards new ones`, async t => {
+      const { link, open, close } = await createEchoLink()
       const socket = await open()
-      await ask(socket, 'first')
-      let isHeard = false
-      socket.on('data', () => { isHeard = true })
-      link.strike(fault)
+      await exchange(socket, 'first')
+      let hasReceived = false
+      socket.on('data', () => { hasReceived = true })
+      link.injectFault(fault)
       socket.write('lost')
-      t.is(await ask(await open(), 'second'), 'second')
-      t.false(isHeard)
+      t.is(await exchange(await open(), 'second'), 'second')
+      t.false(hasReceived)
       t.false(socket.destroyed)
       close()
     })
--- a/packages/foxtaillever-standins/src/platform/engines/__tests__/backendServer.test.ts
+++ b/packages/foxtaillever-standins/src/platform/engines/__tests__/backendServer.test.ts
@@ -5,7 +5,7 @@
 const RESTART_MS = 20
 
 describe('BackendServer', () => {
-  // Guards against a second start of a stand-in that crashes again before it is back.
+  // Guards against two restarts of a stand-in that crashes again before it has restarted.
   it('starts once after two crashes in a row', async t => {
     const clock = SystemClock.create()
     let starts = 0
--- a/packages/foxtaillever-standins/src/platform/engines/runRequest.ts
+++ b/packages/foxtaillever-standins/src/platform/engines/answerWriter.ts
@@ -1,16 +1,16 @@
-/** One request at a stand-in server: what it ran on, and its answer on the socket. */
+/** Writes answers of stand-in servers, with their faults, and describes the requests that arrived. */
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from 'node:http'
 import { ServerFault } from './serverFaults.js'
 
-/** Event in the middle of which a faulty answer ends. */
+/** Event in the middle of which a faulty answer breaks off. */
 const FAULTY_EVENT = 3
 
-/** What the head of an answer said of its server. */
+/** What the headers of an answer stated about its server. */
 export interface StatedAnswer {
   readonly at: number
   readonly isLeaving: boolean
-  /** Rest that it asked for; 0 for none. */
-  readonly restMs: number
+  /** Backoff that it requested, milliseconds; 0 for none. */
+  readonly backoffMs: number
 }
 
 /** A request as it arrived, for oracles. */
@@ -21,11 +21,11 @@
   readonly headers: IncomingHttpHeaders
   readonly body: string
   readonly at: number
-  /** When the server had started, milliseconds of Unix time. */
+  /** Start of the server's incarnation, milliseconds of Unix time. */
   readonly startedAt: number
-  /** The rate that the server stated then. */
+  /** Limit that the server stated at that time. */
   readonly statedLimit: string | undefined
-  /** Undefined while there is none. */
+  /** Undefined before the answer begins. */
   answer: StatedAnswer | undefined
   /** Whether the server began to work on it. */
   hasRun: boolean
@@ -41,11 +41,11 @@
   readonly fault: ServerFault | undefined
   /** Ends the server's process. */
   readonly crash: () => void
-  /** What the server says of itself when the answer begins. */
-  readonly statements: () => Readonly<Record<string, string>>
+  /** Creates the headers in which the server states its limit or that it leaves; called when the answer begins. */
+  readonly createStatementHeaders: () => Readonly<Record<string, string>>
 }
 
-/** Writes events and commits the fault that this request has to suffer. */
+/** Writes one answer and applies the fault of its request. */
 export class AnswerWriter {
   private constructor (private readonly response: ServerResponse, private readonly options: AnswerWriterOptions) {}
 
@@ -53,9 +53,9 @@
     return new AnswerWriter(response, options)
   }
 
-  /** Begins the answer; returns whether anything more is to be written. */
+  /** Begins the answer; returns whether the caller should write more. */
   begin (status: number, headers: Readonly<Record<string, string | number>>): boolean {
-    const { response, options: { fault, requestId, statements } } = this
+    const { response, options: { fault, requestId, createStatementHeaders } } = this
     if (fault === ServerFault.AnswerLost || fault === ServerFault.Garbage) {
       if (fault === ServerFault.Garbage) {
         response.socket?.write('no answer at all\r\n\r\n')
@@ -64,7 +64,7 @@
       return false
     }
     const id = fault === ServerFault.Foreign ? `not-${requestId}` : requestId
-    response.writeHead(status, { 'X-Request-Id': id, 'X-Server-Stamp': `stamp.${requestId}`, ...statements(), ...headers })
+    response.writeHead(status, { 'X-Request-Id': id, 'X-Server-Stamp': `stamp.${requestId}`, ...createStatementHeaders(), ...headers })
     return true
   }
 
@@ -94,8 +94,8 @@
       return
     }
     if (fault === ServerFault.Truncate || fault === ServerFault.Crash) {
-      const cut = fault === ServerFault.Crash ? crash : () => response.socket?.destroy()
-      response.write(body?.subarray(0, body.length / 2) ?? '', () => { cut() })
+      const breakOff = fault === ServerFault.Crash ? crash : () => response.socket?.destroy()
+      response.write(body?.subarray(0, body.length / 2) ?? '', () => { breakOff() })
       return
     }
     const { socket } = response
--- a/packages/foxtaillever-standins/src/platform/engines/backendServer.ts
+++ b/packages/foxtaillever-standins/src/platform/engines/backendServer.ts
@@ -1,25 +1,25 @@
 /**
- * A server of the users' platform on loopback, a model engine or a plain one:
- * checks whom a request is meant for, runs it or says that it did not, and keeps
- * a record of all that arrived.
+ * Stand-in of a server of the users' platform on loopback, a model engine or a
+ * plain server. It checks which server a request expects, runs the request or
+ * answers that it did not run, and records all requests that arrived.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { waitUntil, type Cancellation, type Clock } from 'foxtaillever-core'
 import { readBody } from '../readBody.js'
-import { AnswerWriter, headerOf, type Arrival, type StatedAnswer } from './runRequest.js'
+import { AnswerWriter, headerOf, type Arrival, type StatedAnswer } from './answerWriter.js'
 import { ServerFault } from './serverFaults.js'
 
 export const HEALTH_PATH = '/health'
 
-/** How a kind of server runs a request; undefined: it takes no more. */
+/** Runs the requests of a kind of server. */
 export interface Runner {
-  /** Whether the request may begin; else the status of the refusal. */
+  /** Returns the status of the refusal, or undefined if the request may run. */
   readonly admit: (request: IncomingMessage) => number | undefined
-  /** Runs the request; false when there is no room. */
-  readonly run: (request: IncomingMessage, writer: AnswerWriter, begun: () => void) => boolean
+  /** Runs the request; returns false if there is no room. */
+  readonly run: (request: IncomingMessage, writer: AnswerWriter, onRunStarted: () => void) => boolean
   readonly cancel: (requestId: string) => void
-  /** The process ended; nothing is left. */
+  /** Clears all state, since the process ended. */
   readonly reset: () => void
   /** Calls about the server itself, by method and path. */
   readonly calls: Readonly<Record<string, (request: IncomingMessage, body: Buffer) => Promise<{ readonly status: number, readonly body?: object }>>>
@@ -28,25 +28,25 @@
 export interface BackendServerOptions {
   readonly name: string
   readonly clock: Clock
-  /** How long a crashed server is away, milliseconds. */
+  /** Time from a crash to the restart, milliseconds. */
   readonly restartMs: number
   readonly onCrashed: (server: BackendServer) => void
   readonly onStarted: (server: BackendServer) => void
 }
 
 export class BackendServer {
-  /** Each taken by the next request that would run. */
+  /** Each applies to one of the next requests that would run. */
   readonly faults: ServerFault[] = []
   readonly arrivals: Arrival[] = []
   isLeaving = false
-  /** Requests a second that it says it takes from all instances together, as its answers put it. */
+  /** Requests a second that it accepts from all instances together, as stated in its answers; undefined for no limit. */
   statedLimit: string | undefined
-  /** It turns all requests away and asks whoever sent one for so much rest, seconds, as its answers put it. */
-  askedRest: string | undefined
+  /** If set, it refuses all requests and requests a backoff of this many seconds, as stated in its answers. */
+  retryAfter: string | undefined
   address = ''
-  /** Of this start, milliseconds of Unix time. */
+  /** Start of this incarnation, milliseconds of Unix time. */
   startedAt: number
-  private names = 1
+  private idNumber = 1
   private readonly server: Server
   private isClosed = false
   private isRestarting = false
@@ -55,7 +55,7 @@
   private constructor (readonly options: BackendServerOptions, private readonly runner: Runner) {
     this.startedAt = Math.floor(options.clock.now())
     this.server = createServer((request, response) => {
-      this.take(request, response).catch((error: Error) => response.destroy(error))
+      this.handleRequest(request, response).catch((error: Error) => response.destroy(error))
     })
   }
 
@@ -63,9 +63,9 @@
     return new BackendServer(options, runner)
   }
 
-  /** Another one after most starts. */
+  /** Changes at each restart, unless the crash keeps it. */
   get id (): string {
-    return `${this.options.name}-${this.names}`
+    return `${this.options.name}-${this.idNumber}`
   }
 
   /** How often a request began to run here. */
@@ -79,9 +79,9 @@
     this.options.onStarted(this)
   }
 
-  /** Ends at once, and starts again at the same address, under another id or the one that it had. */
+  /** Ends at once and restarts at the same address, with a new id or with the same one. */
   crash (keepsId = false): void {
-    // A request that was on its way when the server ended may still crash it; that must not open it again, or twice.
+    // A request that was in flight when the server ended may still crash it; that must not restart a closed server, or start it twice.
     if (this.isClosed || this.isRestarting) {
       return
     }
@@ -90,9 +90,9 @@
     onCrashed(this)
     this.runner.reset()
     this.statedLimit = undefined
-    this.askedRest = undefined
-    this.end()
-    this.names += keepsId ? 0 : 1
+    this.retryAfter = undefined
+    this.stopListening()
+    this.idNumber += keepsId ? 0 : 1
     this.isRestarting = true
     this.cancelRestart = clock.at(clock.now() + restartMs, () => {
       this.startedAt = Math.floor(clock.now())
@@ -106,59 +106,59 @@
   close (): void {
     this.isClosed = true
     this.cancelRestart()
-    this.end()
+    this.stopListening()
   }
 
-  private end (): void {
+  private stopListening (): void {
     this.server.close()
     this.server.closeAllConnections()
   }
 
-  private async take (request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleRequest (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { method = '', url = '' } = request
     const body = await readBody(request)
     const call = this.runner.calls[`${method} ${url.split('?')[0]}`]
     const expected = headerOf(request, 'x-expect-instance')
     if (expected !== '' && expected !== this.id) {
-      this.note(request, body)
+      this.recordArrival(request, body)
       response.writeHead(421, { 'X-Instance-Id': this.id, 'X-Not-Executed': 1 }).end()
     } else if (url === HEALTH_PATH) {
-      response.writeHead(this.isLeaving ? 503 : 200, { 'X-Instance-Id': this.id, ...this.statements() }).end()
+      response.writeHead(this.isLeaving ? 503 : 200, { 'X-Instance-Id': this.id, ...this.statementHeaders() }).end()
     } else if (call) {
       const answer = await call(request, body)
-      response.writeHead(answer.status, { 'Content-Type': 'application/json', ...this.statements() }).end(answer.body && JSON.stringify({ ...answer.body, born: this.startedAt }))
+      response.writeHead(answer.status, { 'Content-Type': 'application/json', ...this.statementHeaders() }).end(answer.body && JSON.stringify({ ...answer.body, born: this.startedAt }))
     } else {
-      this.run(request, response, this.note(request, body))
+      this.run(request, response, this.recordArrival(request, body))
     }
   }
 
-  /** What it says of itself in every answer. */
-  private statements (): Readonly<Record<string, string>> {
+  /** Headers of every answer in which the server states its limit and that it leaves. */
+  private statementHeaders (): Readonly<Record<string, string>> {
     return {
       ...(this.statedLimit === undefined ? {} : { 'Server-Limit': this.statedLimit }),
       ...(this.isLeaving ? { 'Server-Leaving': '1' } : {})
     }
   }
 
-  private note (request: IncomingMessage, body: Buffer): Arrival {
+  private recordArrival (request: IncomingMessage, body: Buffer): Arrival {
     const { method = '', url = '', headers } = request
     const arrival: Arrival = { requestId: headerOf(request, 'x-request-id'), method, path: url, headers, body: body.toString(), at: this.options.clock.now(), startedAt: this.startedAt, statedLimit: this.statedLimit, answer: undefined, hasRun: false }
     this.arrivals.push(arrival)
     return arrival
   }
 
-  private answerNow (restMs: number): StatedAnswer {
-    return { at: this.options.clock.now(), isLeaving: this.isLeaving, restMs }
+  private createStatedAnswer (backoffMs: number): StatedAnswer {
+    return { at: this.options.clock.now(), isLeaving: this.isLeaving, backoffMs }
   }
 
   private run (request: IncomingMessage, response: ServerResponse, arrival: Arrival): void {
     const { requestId } = arrival
     const refuse = (status: number, headers: Readonly<Record<string, string>> = {}): void => {
-      response.writeHead(status, { 'X-Request-Id': requestId, 'X-Instance-Id': this.id, 'X-Not-Executed': 1, ...this.statements(), ...headers }).end()
+      response.writeHead(status, { 'X-Request-Id': requestId, 'X-Instance-Id': this.id, 'X-Not-Executed': 1, ...this.statementHeaders(), ...headers }).end()
     }
-    if (this.askedRest !== undefined) {
-      arrival.answer = this.answerNow(Number(this.askedRest) * 1000)
-      refuse(503, { 'Retry-After': this.askedRest })
+    if (this.retryAfter !== undefined) {
+      arrival.answer = this.createStatedAnswer(Number(this.retryAfter) * 1000)
+      refuse(503, { 'Retry-After': this.retryAfter })
       return
     }
     const status = requestId === '' ? 400 : this.runner.admit(request)
@@ -174,9 +174,9 @@
       requestId,
       fault,
       crash: () => this.crash(),
-      statements: () => {
-        arrival.answer = this.answerNow(0)
-        return this.statements()
+      createStatementHeaders: () => {
+        arrival.answer = this.createStatedAnswer(0)
+        return this.statementHeaders()
       }
     })
     response.on('close', () => this.runner.cancel(requestId))
@@ -186,12 +186,12 @@
   }
 }
 
-/** A plain server: works on each request for a while and answers with a body of its own. */
+/** Creates the runner of a plain server, which answers each request after some time with a body that contains its id. */
 export function createPlainRunner (clock: Clock, workMs: number): Runner {
   return {
     admit: () => undefined,
-    run: (request, writer, begun) => {
-      begun()
+    run: (request, writer, onRunStarted) => {
+      onRunStarted()
       const body = Buffer.from(`done ${headerOf(request, 'x-request-id')} ${'.'.repeat(200)}`)
       waitUntil(clock, clock.now() + workMs).then(() => {
         if (writer.begin(200, { 'Content-Length': body.length })) {
--- a/packages/foxtaillever-standins/src/platform/engines/engineRunner.ts
+++ b/packages/foxtaillever-standins/src/platform/engines/engineRunner.ts
@@ -3,17 +3,17 @@
 import type { Clock } from 'foxtaillever-core'
 import type { Runner } from './backendServer.js'
 import type { PartCache, PromptPart } from './partCache.js'
-import { headerOf, type AnswerWriter } from './runRequest.js'
+import { headerOf, type AnswerWriter } from './answerWriter.js'
 import { TokenEngine, type TokenEngineOptions } from './tokenEngine.js'
 import { WeightOrders, type WeightOrderBody } from './weightOrders.js'
 
-/** How often a held call for cache changes looks, milliseconds. */
-const LOOK_MS = 10
+/** How often a long poll for cache changes checks for them, milliseconds. */
+const POLL_INTERVAL_MS = 10
 
-/** Longest time for which such a call is held, milliseconds. */
-const MOST_WAIT_MS = 1000
+/** Longest duration of such a long poll, milliseconds. */
+const MAX_WAIT_MS = 1000
 
-/** Name of requests that bring none, shared by all. */
+/** Cache salt of requests without one, shared by all accounts. */
 const COMMON_SALT = 'common'
 
 const MIDDLE_PRIORITY = 5
@@ -21,12 +21,12 @@
 export interface EngineRunnerOptions {
   readonly clock: Clock
   readonly engine: TokenEngineOptions
-  /** Calls for cache changes held at once. */
-  readonly mostEventCalls: number
+  /** Calls for cache changes that may be open at the same time. */
+  readonly maxEventCalls: number
   readonly loadMs: number
   readonly isNamed: (model: string, version: number) => boolean
   readonly onLoaded: () => void
-  /** Cache of the engine or store at an address, if it is up. */
+  /** Cache of the engine or cache store at an address, if it is running. */
   readonly cacheAt?: (address: string) => PartCache | undefined
 }
 
@@ -37,7 +37,7 @@
   })
 }
 
-/** The answer's text follows from the prompt alone, so that any server goes on where another stopped. */
+/** The text depends on the prompt alone, so that any server can continue an answer where another one stopped. */
 export function eventText (prefix: string, number: number): string {
   return `${prefix.split(',').at(-1) ?? ''}#${number}`
 }
@@ -47,7 +47,7 @@
   readonly orders: WeightOrders
   readonly calls: Runner['calls']
   private bootEpoch = 1
-  private eventCalls = 0
+  private openEventCalls = 0
 
   private constructor (private readonly options: EngineRunnerOptions) {
     const { clock, engine, loadMs, isNamed, onLoaded } = options
@@ -63,10 +63,10 @@
       }
     })
     this.calls = {
-      'GET /report': async () => ({ status: 200, body: this.report() }),
-      'POST /order': async (_, body) => ({ status: this.orders.take(JSON.parse(body.toString()) as WeightOrderBody) }),
-      'GET /kv-events': async request => await this.changes(request),
-      'GET /kv-list': async () => ({ status: 200, body: { boot_epoch: this.bootEpoch, next: this.engine.cache.since(Infinity).next, held: this.engine.cache.list() } })
+      'GET /report': async () => ({ status: 200, body: this.createReport() }),
+      'POST /order': async (_, body) => ({ status: this.orders.handleOrder(JSON.parse(body.toString()) as WeightOrderBody) }),
+      'GET /kv-events': async request => await this.answerEventsCall(request),
+      'GET /kv-list': async () => ({ status: 200, body: { boot_epoch: this.bootEpoch, next: this.engine.cache.changesSince(Infinity).next, held: this.engine.cache.list() } })
     }
   }
 
@@ -82,7 +82,7 @@
     return expected !== '' && Number(expected) !== this.orders.versions.get(headerOf(request, 'x-model')) ? 421 : undefined
   }
 
-  run (request: IncomingMessage, writer: AnswerWriter, begun: () => void): boolean {
+  run (request: IncomingMessage, writer: AnswerWriter, onRunStarted: () => void): boolean {
     const requestId = headerOf(request, 'x-request-id')
     const model = headerOf(request, 'x-model')
     const prefix = headerOf(request, 'x-prompt-prefix')
@@ -102,7 +102,7 @@
       saveTo: this.cacheAt(headerOf(request, 'x-kv-save')),
       sink: {
         started: () => {
-          begun()
+          onRunStarted()
           isWritten = writer.begin(200, { 'Content-Type': 'text/event-stream', 'X-Weight-Versions': this.orders.versions.get(model) ?? 0 })
         },
         token: number => isWritten && writer.event(number, eventText(prefix, number)),
@@ -130,25 +130,25 @@
     return address === '' ? undefined : this.options.cacheAt?.(address)
   }
 
-  private report (): object {
+  private createReport (): object {
     const { active, queued, usedTokens, options } = this.engine
     return {
       stage: 'both', models: this.models(), busy: this.orders.isBusy, seq: this.orders.sequence, queued, active, kv_used: usedTokens, kv_total: options.memoryTokens, handles: 0
     }
   }
 
-  private async changes (request: IncomingMessage): Promise<{ status: number, body?: object }> {
-    const { clock, mostEventCalls } = this.options
-    if (this.eventCalls >= mostEventCalls) {
+  private async answerEventsCall (request: IncomingMessage): Promise<{ status: number, body?: object }> {
+    const { clock, maxEventCalls } = this.options
+    if (this.openEventCalls >= maxEventCalls) {
       return { status: 429 }
     }
-    this.eventCalls += 1
+    this.openEventCalls += 1
     const since = Number(new URL(request.url ?? '', 'http://engine').searchParams.get('since') ?? 0)
-    const until = clock.now() + Math.min(MOST_WAIT_MS, Number(headerOf(request, 'wait-ms') || 0))
-    while (this.engine.cache.since(since).next <= since && clock.now() < until) {
-      await new Promise<void>(resolve => clock.at(clock.now() + LOOK_MS, resolve))
+    const until = clock.now() + Math.min(MAX_WAIT_MS, Number(headerOf(request, 'wait-ms') || 0))
+    while (this.engine.cache.changesSince(since).next <= since && clock.now() < until) {
+      await new Promise<void>(resolve => clock.at(clock.now() + POLL_INTERVAL_MS, resolve))
     }
-    this.eventCalls -= 1
-    return { status: 200, body: { boot_epoch: this.bootEpoch, ...this.engine.cache.since(since) } }
+    this.openEventCalls -= 1
+    return { status: 200, body: { boot_epoch: this.bootEpoch, ...this.engine.cache.changesSince(since) } }
   }
 }
--- a/packages/foxtaillever-standins/src/platform/engines/partCache.ts
+++ b/packages/foxtaillever-standins/src/platform/engines/partCache.ts
@@ -1,10 +1,11 @@
 /**
- * Cached parts of prompts in a stand-in engine: under a name that the caller
- * sets and a model, usable only if all parts before are cached too, the least
- * recently used yielding first. Changes are numbered, so that they can be told.
+ * Cached prompt parts of a stand-in engine, by the cache salt of the request and
+ * the model. A part is usable only if all parts before it are cached too, and the
+ * least recently used parts are evicted first. Changes are numbered, so that
+ * callers can ask for those since a number.
  */
 
-/** Changes kept for those who ask late. */
+/** Changes kept for callers that have not read them yet. */
 const CHANGES_KEPT = 1000
 
 export interface PromptPart {
@@ -12,11 +13,11 @@
   readonly tokens: number
 }
 
-/** Number, + or -, name, part, tokens, model. */
+/** Number, + (added) or - (removed), salt, part, tokens, model. */
 export type CacheChange = readonly [number, '+' | '-', string, string, number, string]
 
-/** Whose request made a part, and under which weights; neither is told to anyone but oracles. */
-export interface PartMaker {
+/** Account and weights of the request that created a part; only oracles read them. */
+export interface PartOrigin {
   readonly account: string
   readonly weightsVersion: number
 }
@@ -24,24 +25,24 @@
 export interface CachedPart extends PromptPart {
   readonly salt: string
   readonly model: string
-  readonly maker: PartMaker
+  readonly origin: PartOrigin
 }
 
 export class PartCache {
-  /** Oldest use first. */
+  /** Least recently used first. */
   private readonly parts = new Map<string, CachedPart>()
   private readonly changes: CacheChange[] = []
-  private number = 0
+  private lastChange = 0
   tokens = 0
 
-  private constructor (private readonly mostTokens: number) {}
+  private constructor (private readonly maxTokens: number) {}
 
-  /** @param mostTokens what it has room for by itself; an engine shrinks it as its runs need memory. */
-  static create (mostTokens = Infinity): PartCache {
-    return new PartCache(mostTokens)
+  /** @param maxTokens capacity; an engine shrinks the cache below it when its runs need memory. */
+  static create (maxTokens = Infinity): PartCache {
+    return new PartCache(maxTokens)
   }
 
-  /** Parts of the prompt that need not be read, from its beginning; they count as used. */
+  /** Returns the leading parts of the prompt that are cached, and marks them as used. */
   match (salt: string, model: string, parts: readonly PromptPart[]): CachedPart[] {
     const matched: CachedPart[] = []
     for (const { id } of parts) {
@@ -57,7 +58,7 @@
     return matched
   }
 
-  /** Parts that were read or fetched; one that is here already stays as it was first made. */
+  /** Adds parts that were prefilled or fetched. A part that is cached already keeps its first origin. */
   add (added: readonly CachedPart[]): void {
     for (const part of added) {
       const { salt, model, id, tokens } = part
@@ -65,21 +66,21 @@
       if (!this.parts.has(key)) {
         this.parts.set(key, part)
         this.tokens += tokens
-        this.tell('+', salt, id, tokens, model)
+        this.recordChange('+', salt, id, tokens, model)
       }
     }
-    this.shrink(this.mostTokens)
+    this.shrink(this.maxTokens)
   }
 
-  /** Oldest parts yield until no more than this is cached, tokens. */
-  shrink (most: number): void {
+  /** Evicts the least recently used parts until at most this many tokens are cached. */
+  shrink (maxTokens: number): void {
     for (const [key, { salt, id, tokens, model }] of this.parts) {
-      if (this.tokens <= most) {
+      if (this.tokens <= maxTokens) {
         return
       }
       this.parts.delete(key)
       this.tokens -= tokens
-      this.tell('-', salt, id, tokens, model)
+      this.recordChange('-', salt, id, tokens, model)
     }
   }
 
@@ -88,23 +89,23 @@
       if (part.model === model) {
         this.parts.delete(key)
         this.tokens -= part.tokens
-        this.tell('-', part.salt, part.id, part.tokens, model)
+        this.recordChange('-', part.salt, part.id, part.tokens, model)
       }
     }
   }
 
-  since (number: number): { readonly next: number, readonly lost: boolean, readonly events: readonly CacheChange[] } {
-    const events = this.changes.filter(change => change[0] > number)
-    const oldest = this.changes[0]?.[0] ?? this.number + 1
-    return { next: this.number, lost: number + 1 < oldest && number < this.number, events }
+  changesSince (lastSeen: number): { readonly next: number, readonly lost: boolean, readonly events: readonly CacheChange[] } {
+    const events = this.changes.filter(change => change[0] > lastSeen)
+    const oldest = this.changes[0]?.[0] ?? this.lastChange + 1
+    return { next: this.lastChange, lost: lastSeen + 1 < oldest && lastSeen < this.lastChange, events }
   }
 
   list (): ReadonlyArray<readonly [string, string, number, string]> {
     return [...this.parts.values()].map(({ salt, id, tokens, model }) => [salt, id, tokens, model])
   }
 
-  private tell (sign: '+' | '-', salt: string, id: string, tokens: number, model: string): void {
-    this.changes.push([++this.number, sign, salt, id, tokens, model])
+  private recordChange (sign: '+' | '-', salt: string, id: string, tokens: number, model: string): void {
+    this.changes.push([++this.lastChange, sign, salt, id, tokens, model])
     this.changes.splice(0, this.changes.length - CHANGES_KEPT)
   }
 }
--- a/packages/foxtaillever-standins/src/platform/engines/serverFaults.ts
+++ b/packages/foxtaillever-standins/src/platform/engines/serverFaults.ts
@@ -1,14 +1,14 @@
-/** What a stand-in server does wrong; each fault is taken by one request. */
+/** Faults of a stand-in server; each applies to one request. */
 export enum ServerFault {
-  /** The process ends in the middle of an answer and starts again under another id. */
+  /** The process ends in the middle of an answer and restarts under another id. */
   Crash = 'crash',
   /** The connection ends in the middle of an answer. */
   Truncate = 'truncate',
   /** A second answer follows a complete one. */
   ExtraAnswer = 'extra-answer',
-  /** Bytes come that are no answer. */
+  /** The server sends bytes that are not an HTTP answer. */
   Garbage = 'garbage',
-  /** The answer bears another request's id. */
+  /** The answer has another request's id. */
   Foreign = 'foreign',
   /** The request is never read. */
   Silent = 'silent',
--- a/packages/foxtaillever-standins/src/platform/engines/tokenEngine.ts
+++ b/packages/foxtaillever-standins/src/platform/engines/tokenEngine.ts
@@ -1,27 +1,27 @@
 /**
- * A model engine of the users' platform: requests wait by priority for a place
- * and for memory, prompts are read in pieces between the tokens of others, and
- * every running request gets one token a step. It knows no network.
+ * Model of an engine of the users' platform, without a network. Requests wait by
+ * priority for a slot and for memory, prompts are prefilled in chunks between the
+ * decode steps of other requests, and each running request gets one token a step.
  */
 import type { Cancellation, Clock } from 'foxtaillever-core'
 import { PartCache, type CachedPart, type PromptPart } from './partCache.js'
 
 export interface TokenEngineOptions {
   readonly slots: number
-  /** Requests that may wait beyond those that run. */
-  readonly mostWaiting: number
+  /** Requests that may wait in addition to those that run. */
+  readonly maxWaiting: number
   readonly memoryTokens: number
-  /** Time of a step without reading, milliseconds. */
+  /** Duration of a step without prefill, milliseconds. */
   readonly stepMs: number
-  readonly readTokensPerMs: number
-  /** Prompt tokens read in one step at most. */
-  readonly pieceTokens: number
+  readonly prefillTokensPerMs: number
+  /** Most prompt tokens prefilled in one step. */
+  readonly chunkTokens: number
 }
 
-/** Tokens that a link between engines or from a store moves in a millisecond: 360 Gbit/s at 192 KB a token. */
+/** Tokens that a link between engines or from a cache store transfers in a millisecond: 360 Gbit/s at 192 KB a token. */
 const FETCHED_TOKENS_PER_MS = 230
 
-/** What the engine tells of a run. */
+/** Receives the events of a run. */
 export interface TokenSink {
   readonly started: () => void
   /** @param number counted from 1 over all runs of the request. */
@@ -36,14 +36,14 @@
   readonly parts: readonly PromptPart[]
   readonly promptTokens: number
   readonly outputTokens: number
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   readonly priority: number
-  /** Tokens that the caller has already. */
+  /** Tokens that the caller has already received. */
   readonly resumeAfter: number
   readonly account: string
-  /** Another cache to look in for what this engine lacks. */
+  /** Another cache from which parts that this engine lacks are fetched. */
   readonly fetchFrom?: PartCache
-  /** Where parts go once they are read. */
+  /** Another cache to which parts are added once they are prefilled. */
   readonly saveTo?: PartCache
   readonly sink: TokenSink
 }
@@ -52,35 +52,35 @@
 export interface PartUse {
   readonly requestId: string
   readonly account: string
-  /** Weights of the engine at that moment. */
+  /** Weights of the engine at that time. */
   readonly weightsVersion: number
   readonly part: CachedPart
 }
 
-interface RunningRun {
+interface ScheduledRun {
   readonly run: TokenRun
   readonly order: number
-  /** Parts are on their way until then, milliseconds of Unix time. */
+  /** When the fetched parts have arrived, milliseconds of Unix time. */
   fetchedAt: number
-  unread: number
-  produced: number
+  tokensToPrefill: number
+  producedTokens: number
   hasStarted: boolean
 }
 
 export class TokenEngine {
   readonly cache = PartCache.create()
-  /** Prompt tokens read since the start, for oracles. */
-  tokensRead = 0
-  /** Cached parts that runs built on. */
+  /** Prompt tokens prefilled since the start, for oracles. */
+  prefilledTokens = 0
+  /** Cached parts that runs used. */
   readonly uses: PartUse[] = []
-  private waiting: RunningRun[] = []
-  private running: RunningRun[] = []
+  private waiting: ScheduledRun[] = []
+  private running: ScheduledRun[] = []
   private order = 0
   private cancelStep: Cancellation | undefined
 
   private constructor (readonly options: TokenEngineOptions, private readonly clock: Clock, private readonly versionOf: (model: string) => number) {}
 
-  /** @param versionOf which weights of a model are loaded at the moment. */
+  /** @param versionOf returns the version of a model's weights that is loaded now. */
   static create (options: TokenEngineOptions, clock: Clock, versionOf: (model: string) => number = () => 0): TokenEngine {
     return new TokenEngine(options, clock, versionOf)
   }
@@ -93,26 +93,26 @@
     return this.waiting.length
   }
 
-  /** Memory that cannot yield, tokens. */
+  /** Memory of running requests, which cannot be freed, tokens. */
   get usedTokens (): number {
-    return this.running.reduce((sum, { run, produced }) => sum + run.promptTokens + produced, 0)
+    return this.running.reduce((sum, { run, producedTokens }) => sum + run.promptTokens + producedTokens, 0)
   }
 
-  /** Returns whether the request is taken; one that is not has not run. */
+  /** Returns whether the request is accepted; a refused request has not run. */
   submit (run: TokenRun): boolean {
-    const { slots, mostWaiting, memoryTokens } = this.options
-    const isFull = this.running.length + this.waiting.length >= slots + mostWaiting
+    const { slots, maxWaiting, memoryTokens } = this.options
+    const isFull = this.running.length + this.waiting.length >= slots + maxWaiting
     if (isFull || run.promptTokens + run.outputTokens > memoryTokens) {
       return false
     }
-    this.waiting.push({ run, order: this.order++, fetchedAt: 0, unread: 0, produced: run.resumeAfter, hasStarted: false })
-    this.waiting.sort((one, other) => one.run.priority - other.run.priority || one.order - other.order)
-    this.wake()
+    this.waiting.push({ run, order: this.order++, fetchedAt: 0, tokensToPrefill: 0, producedTokens: run.resumeAfter, hasStarted: false })
+    this.waiting.sort((a, b) => a.run.priority - b.run.priority || a.order - b.order)
+    this.scheduleStep()
     return true
   }
 
   cancel (requestId: string): void {
-    const isOther = ({ run }: RunningRun): boolean => run.requestId !== requestId
+    const isOther = ({ run }: ScheduledRun): boolean => run.requestId !== requestId
     this.waiting = this.waiting.filter(isOther)
     this.running = this.running.filter(isOther)
   }
@@ -124,27 +124,27 @@
     this.cancelStep = undefined
   }
 
-  private wake (): void {
+  private scheduleStep (): void {
     if (!this.cancelStep) {
       this.cancelStep = this.clock.at(this.clock.now(), () => this.step(0))
     }
   }
 
-  /** @param read prompt tokens that this step has read. */
-  private step (read: number): void {
+  /** @param prefilled prompt tokens that this step has prefilled. */
+  private step (prefilled: number): void {
     this.cancelStep = undefined
-    this.tokensRead += read
-    this.produce()
-    this.admit()
+    this.prefilledTokens += prefilled
+    this.produceTokens()
+    this.admitWaiting()
     if (this.running.length === 0) {
       return
     }
-    const next = this.readPiece()
-    const { stepMs, readTokensPerMs } = this.options
-    this.cancelStep = this.clock.at(this.clock.now() + stepMs + next / readTokensPerMs, () => this.step(next))
+    const next = this.prefillChunk()
+    const { stepMs, prefillTokensPerMs } = this.options
+    this.cancelStep = this.clock.at(this.clock.now() + stepMs + next / prefillTokensPerMs, () => this.step(next))
   }
 
-  private admit (): void {
+  private admitWaiting (): void {
     const { slots, memoryTokens } = this.options
     for (let next = this.waiting[0]; next; next = this.waiting[0]) {
       const { run } = next
@@ -152,14 +152,14 @@
         return
       }
       this.waiting.shift()
-      next.unread = Math.max(1, run.promptTokens - this.find(next))
+      next.tokensToPrefill = Math.max(1, run.promptTokens - this.findCachedTokens(next))
       this.running.push(next)
       this.cache.shrink(memoryTokens - this.usedTokens)
     }
   }
 
-  /** Tokens of the prompt that are here or on their way. */
-  private find (running: RunningRun): number {
+  /** Returns the tokens of the prompt that are cached here or are being fetched. */
+  private findCachedTokens (running: ScheduledRun): number {
     const { requestId, account, salt, model, parts, fetchFrom } = running.run
     const own = this.cache.match(salt, model, parts)
     const fetched = fetchFrom?.match(salt, model, parts).slice(own.length) ?? []
@@ -171,41 +171,41 @@
     return sumOf(used)
   }
 
-  /** The prompt is read; its parts are of the weights that are loaded now. */
-  private keep ({ salt, model, parts, account, saveTo }: TokenRun): void {
-    const maker = { account, weightsVersion: this.versionOf(model) }
-    const read = parts.map(part => ({ ...part, salt, model, maker }))
-    this.cache.add(read)
-    saveTo?.add(read)
+  /** Caches the parts of a prefilled prompt, with the weights that are loaded now. */
+  private cachePrompt ({ salt, model, parts, account, saveTo }: TokenRun): void {
+    const origin = { account, weightsVersion: this.versionOf(model) }
+    const prefilled = parts.map(part => ({ ...part, salt, model, origin }))
+    this.cache.add(prefilled)
+    saveTo?.add(prefilled)
   }
 
-  /** Takes up to a piece of the prompts that wait to be read; returns its tokens. */
-  private readPiece (): number {
-    let left = this.options.pieceTokens
+  /** Prefills up to a chunk of the waiting prompts; returns its tokens. */
+  private prefillChunk (): number {
+    let left = this.options.chunkTokens
     const now = this.clock.now()
     for (const running of this.running.filter(({ fetchedAt }) => fetchedAt <= now)) {
-      const piece = Math.min(left, running.unread)
-      running.unread -= piece
-      left -= piece
-      if (piece > 0 && running.unread === 0) {
-        this.keep(running.run)
+      const chunk = Math.min(left, running.tokensToPrefill)
+      running.tokensToPrefill -= chunk
+      left -= chunk
+      if (chunk > 0 && running.tokensToPrefill === 0) {
+        this.cachePrompt(running.run)
       }
     }
-    return this.options.pieceTokens - left
+    return this.options.chunkTokens - left
   }
 
-  private produce (): void {
-    for (const running of this.running.filter(({ unread }) => unread === 0)) {
+  private produceTokens (): void {
+    for (const running of this.running.filter(({ tokensToPrefill }) => tokensToPrefill === 0)) {
       const { run } = running
       if (!running.hasStarted) {
         running.hasStarted = true
         run.sink.started()
       }
-      if (running.produced < run.outputTokens) {
-        running.produced += 1
-        run.sink.token(running.produced)
+      if (running.producedTokens < run.outputTokens) {
+        running.producedTokens += 1
+        run.sink.token(running.producedTokens)
       }
-      if (running.produced >= run.outputTokens) {
+      if (running.producedTokens >= run.outputTokens) {
         this.running = this.running.filter(other => other !== running)
         run.sink.finished()
       }
--- a/packages/foxtaillever-standins/src/platform/engines/weightOrders.ts
+++ b/packages/foxtaillever-standins/src/platform/engines/weightOrders.ts
@@ -1,4 +1,4 @@
-/** Orders for new weights at a stand-in engine: numbered, fenced, carried out after what runs. */
+/** Handles orders for new weights at a stand-in engine. Orders are numbered and fenced. */
 import type { Clock } from 'foxtaillever-core'
 
 export interface WeightOrderBody {
@@ -11,8 +11,8 @@
   readonly expect?: number
 }
 
-/** An order that was taken, for oracles. */
-export interface TakenOrder {
+/** An accepted order, for oracles. */
+export interface AcceptedOrder {
   readonly holder: string
   readonly fence: number
   readonly model: string
@@ -20,25 +20,25 @@
   readonly at: number
 }
 
-/** Runs go on under the new weights. */
+/** Swap mode in which runs continue under the new weights; in other modes the load waits until no run is left. */
 const RETAIN = 'retain'
 
-/** How long an order waits between two looks whether all has ended, milliseconds. */
-const LOOK_MS = 5
+/** Time between two checks whether all runs have ended, milliseconds. */
+const CHECK_INTERVAL_MS = 5
 
 export interface WeightOrdersOptions {
   readonly clock: Clock
   readonly loadMs: number
   /** Whether the operators have named this version. */
   readonly isNamed: (model: string, version: number) => boolean
-  /** Whether a request still runs. */
+  /** Whether no request runs or waits. */
   readonly isIdle: () => boolean
   readonly onLoaded: (model: string) => void
 }
 
 export class WeightOrders {
   readonly versions = new Map<string, number>()
-  readonly taken: TakenOrder[] = []
+  readonly accepted: AcceptedOrder[] = []
   sequence = 0
   isBusy = false
   private fence = 0
@@ -49,8 +49,8 @@
     return new WeightOrders(options)
   }
 
-  /** Returns the status of the answer. */
-  take ({ op, model = '', version = 0, swap_mode: swapMode, holder, fence, expect }: WeightOrderBody): number {
+  /** Handles an order; returns the status of the answer. */
+  handleOrder ({ op, model = '', version = 0, swap_mode: swapMode, holder, fence, expect }: WeightOrderBody): number {
     if (op !== 'version' || holder === undefined || fence === undefined || !this.options.isNamed(model, version)) {
       return 400
     }
@@ -66,22 +66,22 @@
     }
     this.sequence += 1
     this.isBusy = true
-    this.taken.push({ holder, fence, model, version, at: this.options.clock.now() })
-    this.loadWhen(swapMode === RETAIN ? () => true : this.options.isIdle, model, version)
+    this.accepted.push({ holder, fence, model, version, at: this.options.clock.now() })
+    this.loadWhenAllowed(swapMode === RETAIN ? () => true : this.options.isIdle, model, version)
     return 202
   }
 
-  /** A restart forgets orders and fences. */
+  /** Clears orders and fences, as a restart does. */
   reset (): void {
     this.sequence = 0
     this.fence = 0
     this.isBusy = false
   }
 
-  private loadWhen (mayLoad: () => boolean, model: string, version: number): void {
+  private loadWhenAllowed (mayLoad: () => boolean, model: string, version: number): void {
     const { clock, loadMs } = this.options
     if (!mayLoad()) {
-      clock.at(clock.now() + LOOK_MS, () => this.loadWhen(mayLoad, model, version))
+      clock.at(clock.now() + CHECK_INTERVAL_MS, () => this.loadWhenAllowed(mayLoad, model, version))
       return
     }
     clock.at(clock.now() + loadMs, () => {
--- a/packages/foxtaillever-standins/src/platform/instanceListModel.ts
+++ b/packages/foxtaillever-standins/src/platform/instanceListModel.ts
@@ -1,6 +1,6 @@
 /**
- * Model of the platform's list of live and leaving instances. What it says is
- * older than the truth by its lag.
+ * Model of the platform's list of live and leaving instances. Readers see each
+ * change after a lag.
  */
 import { Failure, FailureCode, type Clock, type ListedInstance } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
@@ -10,7 +10,7 @@
   readonly instance: ListedInstance | undefined
 }
 
-/** Faults that are switched at run time. */
+/** Faults that can be set at run time. */
 export interface InstanceListFaults {
   outage: boolean
   /** Lag of changes from now on, milliseconds. */
@@ -29,24 +29,24 @@
     return new InstanceListModel(lagMs, clock)
   }
 
-  put (instance: ListedInstance): void {
-    this.push(instance.name, instance)
+  setInstance (instance: ListedInstance): void {
+    this.addVersion(instance.name, instance)
   }
 
   remove (name: string): void {
-    this.push(name, undefined)
+    this.addVersion(name, undefined)
   }
 
   setFaults (faults: Partial<InstanceListFaults>): void {
     Object.assign(this.faults, faults)
   }
 
-  private push (name: string, instance: ListedInstance | undefined): void {
+  private addVersion (name: string, instance: ListedInstance | undefined): void {
     const now = this.clock.now()
     const versions = this.versions.get(name) ?? []
     const newestVisible = versions.findLastIndex(version => version.visibleAt <= now)
-    const seen = versions.slice(Math.max(0, newestVisible))
-    this.versions.set(name, [...seen, { visibleAt: now + this.faults.lagMs, instance }])
+    const kept = versions.slice(Math.max(0, newestVisible))
+    this.versions.set(name, [...kept, { visibleAt: now + this.faults.lagMs, instance }])
   }
 
   list (): ListedInstance[] {
@@ -55,7 +55,7 @@
       .filter(instance => instance !== undefined)
   }
 
-  /** The list as a reader gets it: nothing during an outage. */
+  /** The list as a reader receives it; a failure during an outage. */
   read (): Either<Failure, ListedInstance[]> {
     return this.faults.outage
       ? Left(Failure.notRun(FailureCode.BackendServerError, 'The instance list is down.'))
--- a/packages/foxtaillever-standins/src/platform/instanceListServer.ts
+++ b/packages/foxtaillever-standins/src/platform/instanceListServer.ts
@@ -1,4 +1,4 @@
-/** Puts the instance list on a socket. */
+/** Serves the instance list over HTTP. */
 import fastify, { type FastifyInstance } from 'fastify'
 import type { ListedInstance } from 'foxtaillever-core'
 import type { InstanceListFaults, InstanceListModel } from './instanceListModel.js'
@@ -12,7 +12,7 @@
     })
   })
   server.put('/instances', async (request) => {
-    model.put(request.body as ListedInstance)
+    model.setInstance(request.body as ListedInstance)
     return {}
   })
   server.delete<{ Params: { name: string } }>('/instances/:name', async (request) => {
--- a/packages/foxtaillever-standins/src/platform/keptCacheStoreModel.ts
+++ b/packages/foxtaillever-standins/src/platform/keptCacheStoreModel.ts
@@ -1,12 +1,12 @@
 /**
- * Model of the kept-cache store: cached blocks of prefixes outside the engines,
- * limited in size, the oldest dropped first. It gives back whatever it holds;
- * who may use it is checked by the engine that imports.
+ * Model of the kept-cache store: cached blocks of prefixes outside the engines.
+ * Its size is limited, and the oldest entries are evicted first. It returns any
+ * entry to any caller; the engine that imports an entry checks who may use it.
  */
 import { Failure, FailureCode, type KeptCache } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
 
-/** What an engine needs of the store. */
+/** Operations of the store that engines use. */
 export interface KeptCacheStore {
   put: (key: string, entry: KeptCache) => Promise<Either<Failure, void>>
   get: (key: string) => Promise<Either<Failure, KeptCache>>
@@ -28,17 +28,17 @@
 
   async put (key: string, entry: KeptCache): Promise<Either<Failure, void>> {
     if (this.faults.outage) {
-      return this.down()
+      return this.failUnavailable()
     }
     this.entries.delete(key)
     this.entries.set(key, entry)
-    this.shrink()
+    this.evict()
     return Right(undefined)
   }
 
   async get (key: string): Promise<Either<Failure, KeptCache>> {
     if (this.faults.outage) {
-      return this.down()
+      return this.failUnavailable()
     }
     const entry = this.entries.get(key)
     return entry ? Right(entry) : Left(Failure.notRun(FailureCode.BadRequest, `The store holds nothing under ${key}.`))
@@ -52,11 +52,11 @@
     return [...this.entries.values()].reduce((sum, entry) => sum + entry.tokens, 0)
   }
 
-  private down<Value> (): Either<Failure, Value> {
+  private failUnavailable<Value> (): Either<Failure, Value> {
     return Left(Failure.notRun(FailureCode.BackendServerError, 'The kept-cache store is down.'))
   }
 
-  private shrink (): void {
+  private evict (): void {
     for (const key of this.entries.keys()) {
       if (this.tokens() <= this.capacityTokens) {
         return
--- a/packages/foxtaillever-standins/src/platform/keptCacheStoreServer.ts
+++ b/packages/foxtaillever-standins/src/platform/keptCacheStoreServer.ts
@@ -1,4 +1,4 @@
-/** Puts the kept-cache store on a socket, and reaches one in another process. */
+/** Serves the kept-cache store over HTTP, and connects to one in another process. */
 import fastify, { type FastifyInstance } from 'fastify'
 import { Failure, FailureCode, type KeptCache } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
@@ -26,7 +26,7 @@
 async function call<Value> (address: string, key: string, init: RequestInit): Promise<Either<Failure, Value>> {
   const response = await fetch(`${address}/kept/${encodeURIComponent(key)}`, init).catch(() => undefined)
   if (response?.ok !== true) {
-    return Left(Failure.notRun(FailureCode.BackendServerError, 'The kept-cache store gave nothing.'))
+    return Left(Failure.notRun(FailureCode.BackendServerError, 'The kept-cache store returned no entry.'))
   }
   return Right(await response.json() as Value)
 }
--- a/packages/foxtaillever-standins/src/platform/link.ts
+++ b/packages/foxtaillever-standins/src/platform/link.ts
@@ -1,27 +1,26 @@
 /**
- * A link to a server, on loopback: passes bytes on both ways, and can be made
- * to reset its connections, to fall silent without closing them, or to lose one
- * direction only.
+ * TCP proxy to a server on loopback, with faults: it can reset its connections,
+ * stop forwarding without closing them, or stop forwarding in one direction.
  */
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 
 export enum LinkFault {
-  /** Every open connection is reset once; new ones work. */
+  /** Open connections are reset; new ones work. */
   Reset = 'reset',
-  /** Open connections carry nothing any more and stay open; new ones work. */
+  /** Open connections stay open and forward nothing; new ones work. */
   Silent = 'silent',
-  /** What the server says on open connections is lost; what it hears is not. */
-  DeafCaller = 'deaf-caller'
+  /** On open connections, bytes from the server are lost and bytes to the server are forwarded. */
+  AnswersLost = 'deaf-caller'
 }
 
-interface Passage {
-  readonly near: Socket
-  readonly far: Socket
+interface LinkedConnection {
+  readonly callerSocket: Socket
+  readonly serverSocket: Socket
 }
 
 /**
- * A socket whose end is on its way cannot be reset: libuv refuses, node keeps
- * its handle open, and the process that holds it never ends.
+ * Resets a socket, or destroys it if its end has been sent: libuv refuses to reset
+ * such a socket, so node would keep its handle open and the process would never exit.
  */
 function reset (socket: Socket): void {
   if (socket.writableEnded) {
@@ -31,63 +30,63 @@
   }
 }
 
-const strikes: Readonly<Record<LinkFault, (passage: Passage) => void>> = {
-  [LinkFault.Reset]: ({ near, far }) => {
-    reset(near)
-    reset(far)
+const faultActions: Readonly<Record<LinkFault, (connection: LinkedConnection) => void>> = {
+  [LinkFault.Reset]: ({ callerSocket, serverSocket }) => {
+    reset(callerSocket)
+    reset(serverSocket)
   },
-  [LinkFault.Silent]: ({ near, far }) => {
-    near.unpipe(far).pause()
-    far.unpipe(near).pause()
+  [LinkFault.Silent]: ({ callerSocket, serverSocket }) => {
+    callerSocket.unpipe(serverSocket).pause()
+    serverSocket.unpipe(callerSocket).pause()
   },
-  [LinkFault.DeafCaller]: ({ near, far }) => { far.unpipe(near).resume() }
+  [LinkFault.AnswersLost]: ({ callerSocket, serverSocket }) => { serverSocket.unpipe(callerSocket).resume() }
 }
 
 export class Link {
   private readonly server: Server
-  private readonly passages = new Set<Passage>()
+  private readonly connections = new Set<LinkedConnection>()
 
   private constructor (private readonly target: string) {
-    this.server = createServer(near => this.open(near))
+    this.server = createServer(callerSocket => this.open(callerSocket))
   }
 
   static create (target: string): Link {
     return new Link(target)
   }
 
-  /** Returns the address at which the target is reached over this link. */
+  /** Returns the address at which this link forwards to the target. */
   async listen (host: string): Promise<string> {
     await new Promise<void>(resolve => this.server.listen(0, host, resolve))
     return `${host}:${(this.server.address() as AddressInfo).port}`
   }
 
-  strike (fault: LinkFault): void {
-    this.passages.forEach(strikes[fault])
+  injectFault (fault: LinkFault): void {
+    this.connections.forEach(faultActions[fault])
   }
 
   close (): void {
     this.server.close()
-    for (const { near, far } of this.passages) {
-      near.destroy()
-      far.destroy()
+    for (const { callerSocket, serverSocket } of this.connections) {
+      callerSocket.destroy()
+      serverSocket.destroy()
     }
   }
 
-  private open (near: Socket): void {
+  private open (callerSocket: Socket): void {
     const [host = '', port] = this.target.split(':')
-    const far = connect(Number(port), host)
-    const passage = { near, far }
-    this.passages.add(passage)
-    near.pipe(far)
-    far.pipe(near)
+    const serverSocket = connect(Number(port), host)
+    const connection = { callerSocket, serverSocket }
+    this.connections.add(connection)
+    callerSocket.pipe(serverSocket)
+    serverSocket.pipe(callerSocket)
     const end = (): void => {
-      this.passages.delete(passage)
-      near.destroy()
-      far.destroy()
+      this.connections.delete(connection)
+      callerSocket.destroy()
+      serverSocket.destroy()
     }
-    for (const socket of [near, far]) {
+    for (const socket of [callerSocket, serverSocket]) {
       socket.setNoDelay(true)
-      socket.on('error', () => strikes[LinkFault.Reset](passage))
+      socket.on('error', () => faultActions[LinkFault.Reset](connection))
       socket.on('close', end)
     }
   }
--- a/packages/foxtaillever-standins/src/platform/localLog.ts
+++ b/packages/foxtaillever-standins/src/platform/localLog.ts
@@ -1,51 +1,51 @@
 /**
- * The log model as one process sees it, without a socket: for tests in which
- * several instances share one log under a virtual clock.
+ * In-memory client of the log model for one process, for tests in which several
+ * instances share one log under a virtual clock.
  */
 import { Failure, FailureCode, Verdict, waitUntil, type Clock, type Log, type LogEntry, type LogPage } from 'foxtaillever-core'
 import { Left, type Either } from 'purify-ts'
 import type { LogModel } from './logModel.js'
 
-/** One way on the simulated wire, milliseconds. */
+/** Simulated network delay in one direction, milliseconds. */
 const DELAY_MS = 2
 
 export class LocalLog implements Log {
-  /** While true nothing of this process reaches the log, nor any answer it. */
-  isCut = false
+  /** While true, no call of this process reaches the log and no answer reaches the process. */
+  isPartitioned = false
 
   private constructor (private readonly model: LogModel, private readonly clock: Clock, private readonly modelClock: Clock) {}
 
-  /** @param clock the process's own; may differ from the log's. */
+  /** @param clock clock of the process, which may differ from the log's. */
   static create (model: LogModel, clock: Clock, modelClock = clock): LocalLog {
     return new LocalLog(model, clock, modelClock)
   }
 
   async append (entry: LogEntry): Promise<Either<Failure, number>> {
-    await this.travel()
-    if (this.isCut) {
-      return this.refuse(Verdict.NotRun)
+    await this.delay()
+    if (this.isPartitioned) {
+      return this.failUnavailable(Verdict.NotRun)
     }
     const result = this.model.append(entry)
-    await this.travel()
-    return this.isCut ? this.refuse(Verdict.MayHaveRun) : result
+    await this.delay()
+    return this.isPartitioned ? this.failUnavailable(Verdict.MayHaveRun) : result
   }
 
   async read (from: number, deadline: number): Promise<Either<Failure, LogPage>> {
-    await this.travel()
-    if (!this.isCut) {
+    await this.delay()
+    if (!this.isPartitioned) {
       const waitMs = deadline - this.clock.now()
       await this.model.waitFor(from, this.modelClock.now() + waitMs)
     }
     const page = this.model.read(from)
-    await this.travel()
-    return this.isCut ? this.refuse(Verdict.NotRun) : page
+    await this.delay()
+    return this.isPartitioned ? this.failUnavailable(Verdict.NotRun) : page
   }
 
-  private travel (): Promise<void> {
+  private delay (): Promise<void> {
     return waitUntil(this.clock, this.clock.now() + DELAY_MS + this.model.faults.slownessMs)
   }
 
-  private refuse (verdict: Verdict): Either<Failure, never> {
+  private failUnavailable (verdict: Verdict): Either<Failure, never> {
     return Left(Failure.create(FailureCode.LogUnavailable, verdict, 'The log cannot be reached.'))
   }
 }
--- a/packages/foxtaillever-standins/src/platform/logModel.ts
+++ b/packages/foxtaillever-standins/src/platform/logModel.ts
@@ -1,6 +1,6 @@
 /**
- * Model of the platform's append-only log: offsets, limited retention, a limit
- * on appends a second, outages, slowness, and answers lost after the effect.
+ * Model of the platform's append-only log: offsets, limited retention, a limit on
+ * appends a second, outages, slow answers, and answers that are lost after the append.
  */
 import { Failure, FailureCode, Verdict, type Clock, type LogEntry, type LogPage, type LogRecord } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
@@ -12,17 +12,17 @@
   readonly appendsPerSecond: number
 }
 
-/** Faults that are switched at run time. */
+/** Faults that can be set at run time. */
 export interface LogFaults {
   /** Every call fails, without effect. */
   outage: boolean
   /** Added to each answer, milliseconds. */
   slownessMs: number
-  /** The next appends whose answer is lost after the effect. */
+  /** Number of next appends that take effect but whose answer is lost. */
   lostAnswers: number
 }
 
-/** Records in one page at most. */
+/** Most records in one page. */
 const PAGE_RECORDS = 1000
 
 export class LogModel {
@@ -47,7 +47,7 @@
     if (this.faults.outage) {
       return Left(Failure.notRun(FailureCode.LogUnavailable, 'The log is down.'))
     }
-    if (!this.takeToken()) {
+    if (!this.consumeToken()) {
       return Left(Failure.notRun(FailureCode.Overloaded, 'Too many appends a second.', this.clock.now() + 100))
     }
     const record: LogRecord = { ...entry, offset: this.next++, appendedAt: this.clock.now() }
@@ -60,7 +60,7 @@
     return Right(record.offset)
   }
 
-  private takeToken (): boolean {
+  private consumeToken (): boolean {
     const now = this.clock.now()
     const refill = (now - this.refilledAt) / 1000 * this.options.appendsPerSecond
     this.tokens = Math.min(this.options.appendsPerSecond, this.tokens + refill)
@@ -100,7 +100,7 @@
     }
   }
 
-  /** Switches faults; waiting readers look again. */
+  /** Sets faults; waiting readers check again. */
   setFaults (faults: Partial<LogFaults>): void {
     Object.assign(this.faults, faults)
     this.watchers.wake()
--- a/packages/foxtaillever-standins/src/platform/logServer.ts
+++ b/packages/foxtaillever-standins/src/platform/logServer.ts
@@ -1,4 +1,4 @@
-/** Puts the log model on a socket. */
+/** Serves the log model over HTTP. */
 import fastify, { type FastifyInstance, type FastifyReply } from 'fastify'
 import { Failure, Verdict, waitUntil, type Clock, type LogEntry } from 'foxtaillever-core'
 import type { LogModel } from './logModel.js'
@@ -6,7 +6,7 @@
 const BODY_LIMIT_BYTES = 16 * 1024 * 1024
 
 function sendFailure (reply: FastifyReply, failure: Failure): void {
-  // A lost answer is a cut connection: the writer must not learn what happened.
+  // A lost answer closes the connection: the writer must not learn whether the append took effect.
   if (failure.verdict !== Verdict.NotRun) {
     reply.raw.destroy()
     return
--- a/packages/foxtaillever-standins/src/platform/platformDeployment.ts
+++ b/packages/foxtaillever-standins/src/platform/platformDeployment.ts
@@ -1,55 +1,55 @@
 /**
- * The users' platform around instances, on loopback and in one process: the
- * store, servers that register and leave there, and operators who write to it.
+ * Stand-in of the users' platform on loopback and in one process: the store,
+ * servers that register in the store and leave it, and operators that write to it.
  */
 import { waitUntil, type Cancellation, type Clock } from 'foxtaillever-core'
 import { BackendServer, createPlainRunner, type Runner } from './engines/backendServer.js'
 import { EngineRunner } from './engines/engineRunner.js'
 import { PartCache } from './engines/partCache.js'
 import type { PartUse } from './engines/tokenEngine.js'
-import type { TakenOrder } from './engines/weightOrders.js'
+import type { AcceptedOrder } from './engines/weightOrders.js'
 import { Link } from './link.js'
 import { OPERATORS_TOPIC, SERVERS_TOPIC, StoreModel, type StoreCopy } from './store/storeModel.js'
 import { StoreServer } from './store/storeServer.js'
 
-/** Small against a real engine, so that runs are short. */
-const ENGINE = { slots: 8, mostWaiting: 8, memoryTokens: 40_000, stepMs: 4, readTokensPerMs: 110, pieceTokens: 4096 }
+/** Smaller than a real engine, so that runs are short. */
+const ENGINE = { slots: 8, maxWaiting: 8, memoryTokens: 40_000, stepMs: 4, prefillTokensPerMs: 110, chunkTokens: 4096 }
 
-/** A server is removed after so many intervals without a heartbeat. */
-const SILENT_HEARTBEATS = 3
+/** A server is removed after this many heartbeat intervals without a heartbeat. */
+const MISSED_HEARTBEATS = 3
 
 const RESTART_MS = 400
 const LOAD_MS = 40
 const PLAIN_WORK_MS = 10
 const EVENT_CALLS = 16
 
-interface Registered {
+interface RegisteredServer {
   readonly server: BackendServer
   readonly runner: Runner
   readonly service: string
   readonly zone: string
-  /** Where others reach it. */
+  /** Address at which other processes reach it; over a link if there is one. */
   address: string
-  isBeating: boolean
+  sendsHeartbeats: boolean
 }
 
-/** How the store is restored. */
+/** How to restore the store. */
 export interface Restoration {
   readonly copy: StoreCopy
-  /** No call gets through for so long, milliseconds. */
-  readonly awayMs: number
-  /** What was lost is written again so long after the store is back, milliseconds. */
-  readonly rewrittenMs: number
-  /** Carried out on the restored store before any call gets through. */
+  /** Time during which no call reaches the store, milliseconds. */
+  readonly outageMs: number
+  /** Time from the restore until lost values are written again, milliseconds. */
+  readonly rewriteDelayMs: number
+  /** Called on the restored store before any call reaches it. */
   readonly beforeCalls?: () => void
 }
 
 export interface PlatformDeploymentOptions {
   readonly clock: Clock
-  /** Loopback address of everything. */
+  /** Loopback address of all servers. */
   readonly host: string
   readonly heartbeatMs: number
-  /** Servers are reached over links that can be disturbed. */
+  /** Whether servers are reached over links, which can have faults. */
   readonly hasLinks?: boolean
 }
 
@@ -58,38 +58,38 @@
   readonly servers: BackendServer[] = []
   readonly links: Link[] = []
   private readonly cacheStores = new Map<string, PartCache>()
-  private readonly registered: Registered[] = []
-  private readonly doors: StoreServer[] = []
-  private readonly named = new Map<string, number>()
-  /** The newest that operators wrote, by key. */
-  private readonly written = new Map<string, object>()
-  private cancelBeat: Cancellation = () => {}
-  private beats = 0
+  private readonly registered: RegisteredServer[] = []
+  private readonly storeServers: StoreServer[] = []
+  private readonly namedVersions = new Map<string, number>()
+  /** Newest values that operators wrote, by key. */
+  private readonly operatorValues = new Map<string, object>()
+  private cancelHeartbeat: Cancellation = () => {}
+  private entrySequence = 0
 
   private constructor (private readonly options: PlatformDeploymentOptions) {
     this.store = StoreModel.create(options.clock)
-    this.beat()
+    this.scheduleHeartbeats()
   }
 
   static create (options: PlatformDeploymentOptions): PlatformDeployment {
     return new PlatformDeployment(options)
   }
 
-  /** Another way to the store, with faults of its own. */
-  async openStore (): Promise<{ readonly door: StoreServer, readonly address: string }> {
-    const door = StoreServer.create(this.store, this.options.clock)
-    this.doors.push(door)
-    return { door, address: await door.listen(this.options.host) }
+  /** Opens another address of the store, with its own faults. */
+  async openStore (): Promise<{ readonly storeServer: StoreServer, readonly address: string }> {
+    const storeServer = StoreServer.create(this.store, this.options.clock)
+    this.storeServers.push(storeServer)
+    return { storeServer, address: await storeServer.listen(this.options.host) }
   }
 
   async addEngine (name: string, service: string, zone: string, models: Readonly<Record<string, number>>): Promise<{ readonly server: BackendServer, readonly runner: EngineRunner }> {
     const runner = EngineRunner.create({
       clock: this.options.clock,
       engine: ENGINE,
-      mostEventCalls: EVENT_CALLS,
+      maxEventCalls: EVENT_CALLS,
       loadMs: LOAD_MS,
-      isNamed: (model, version) => version <= (this.named.get(model) ?? 0),
-      onLoaded: () => this.beatAll(),
+      isNamed: (model, version) => version <= (this.namedVersions.get(model) ?? 0),
+      onLoaded: () => this.writeEntries(),
       cacheAt: address => this.cacheAt(address)
     })
     Object.entries(models).forEach(([model, version]) => runner.orders.versions.set(model, version))
@@ -100,34 +100,34 @@
     return await this.add(name, service, zone, createPlainRunner(this.options.clock, PLAIN_WORK_MS))
   }
 
-  /** A store of cached parts; no call reaches it, since engines alone use it. */
-  addCacheStore (address: string, mostTokens: number): void {
-    this.cacheStores.set(address, PartCache.create(mostTokens))
+  /** Adds a store of cached parts. It has no server, since only the engines use it. */
+  addCacheStore (address: string, maxTokens: number): void {
+    this.cacheStores.set(address, PartCache.create(maxTokens))
   }
 
-  /** The store restarts without anything in it. */
+  /** Restarts a cache store empty. */
   clearCacheStore (address: string): void {
     this.cacheStores.get(address)?.shrink(0)
   }
 
-  /** Cached parts that runs of all engines built on. */
+  /** Cached parts that runs of all engines used. */
   partUses (): PartUse[] {
     return this.registered.flatMap(({ runner }) => runner instanceof EngineRunner ? runner.engine.uses : [])
   }
 
-  /** Orders that engines took, of all their lives. */
-  takenOrders (): TakenOrder[] {
-    return this.registered.flatMap(({ runner }) => runner instanceof EngineRunner ? runner.orders.taken : [])
+  /** Orders that engines accepted, in all their incarnations. */
+  acceptedOrders (): AcceptedOrder[] {
+    return this.registered.flatMap(({ runner }) => runner instanceof EngineRunner ? runner.orders.accepted : [])
   }
 
-  /** The engines that others may find in the store. */
+  /** Engines that are listed in the store. */
   engines (): EngineRunner[] {
     return this.listedEngines().map(({ runner }) => runner)
   }
 
-  /** The same with their servers. */
+  /** Listed engines with their servers. */
   listedEngines (): Array<{ readonly server: BackendServer, readonly runner: EngineRunner }> {
-    return this.registered.flatMap(({ server, runner, isBeating }) => isBeating && runner instanceof EngineRunner ? [{ server, runner }] : [])
+    return this.registered.flatMap(({ server, runner, sendsHeartbeats }) => sendsHeartbeats && runner instanceof EngineRunner ? [{ server, runner }] : [])
   }
 
   configure (configuration: object): void {
@@ -135,65 +135,65 @@
   }
 
   nameWeights (model: string, version: number): void {
-    this.named.set(model, version)
+    this.namedVersions.set(model, version)
     this.writeAsOperator(`version/${model}`, { model, version })
   }
 
-  /** The store is away and comes back from an older copy; operators and servers then write again what they wrote. */
-  async restoreStore ({ copy, awayMs, rewrittenMs, beforeCalls = () => {} }: Restoration): Promise<void> {
+  /** Makes the store unreachable and restores it from an older copy; operators and servers then write lost values again. */
+  async restoreStore ({ copy, outageMs, rewriteDelayMs, beforeCalls = () => {} }: Restoration): Promise<void> {
     const { clock } = this.options
-    this.store.isAway = true
-    this.doors.forEach(door => door.disconnect())
-    await waitUntil(clock, clock.now() + awayMs)
+    this.store.isUnreachable = true
+    this.storeServers.forEach(storeServer => storeServer.disconnect())
+    await waitUntil(clock, clock.now() + outageMs)
     this.store.restore(copy)
     beforeCalls()
-    this.store.isAway = false
-    await waitUntil(clock, clock.now() + rewrittenMs)
-    this.writeAgain()
+    this.store.isUnreachable = false
+    await waitUntil(clock, clock.now() + rewriteDelayMs)
+    this.rewriteLostValues()
   }
 
-  /** The server says that it leaves, and goes on serving what it has. */
+  /** Makes the server state that it leaves; it keeps serving its requests. */
   drain (server: BackendServer): void {
     server.isLeaving = true
-    this.beatAll()
+    this.writeEntries()
   }
 
-  /** The server has left. */
+  /** Removes the entry of a server that has left. */
   remove (server: BackendServer): void {
-    this.registered.filter(entry => entry.server === server).forEach(entry => { entry.isBeating = false })
+    this.registered.filter(entry => entry.server === server).forEach(entry => { entry.sendsHeartbeats = false })
     this.store.put(SERVERS_TOPIC, server.id, undefined)
   }
 
-  /** Another writer than a server puts something into the list. */
+  /** Writes an entry into the list of servers as another writer than a server. */
   writeForeign (key: string, value: Buffer): void {
     this.store.putBytes(SERVERS_TOPIC, key, value)
   }
 
   close (): void {
-    this.cancelBeat()
-    this.doors.forEach(door => door.close())
+    this.cancelHeartbeat()
+    this.storeServers.forEach(storeServer => storeServer.close())
     this.links.forEach(link => link.close())
     this.servers.forEach(server => server.close())
   }
 
   private writeAsOperator (key: string, value: object): void {
-    this.written.set(key, value)
+    this.operatorValues.set(key, value)
     this.store.put(OPERATORS_TOPIC, key, value)
   }
 
-  private writeAgain (): void {
+  private rewriteLostValues (): void {
     const { newest } = this.store.partition(OPERATORS_TOPIC)
-    this.written.forEach((value, key) => {
+    this.operatorValues.forEach((value, key) => {
       if (newest.get(key)?.value.toString() !== JSON.stringify(value)) {
         this.store.put(OPERATORS_TOPIC, key, value)
       }
     })
-    this.registered.filter(({ isBeating }) => !isBeating).forEach(({ server }) => this.store.put(SERVERS_TOPIC, server.id, undefined))
-    this.beatAll()
+    this.registered.filter(({ sendsHeartbeats }) => !sendsHeartbeats).forEach(({ server }) => this.store.put(SERVERS_TOPIC, server.id, undefined))
+    this.writeEntries()
   }
 
   private cacheAt (address: string): PartCache | undefined {
-    const engine = this.registered.find(entry => entry.isBeating && entry.address === address)?.runner
+    const engine = this.registered.find(entry => entry.sendsHeartbeats && entry.address === address)?.runner
     return this.cacheStores.get(address) ?? (engine instanceof EngineRunner ? engine.engine.cache : undefined)
   }
 
@@ -204,34 +204,34 @@
       clock,
       restartMs: RESTART_MS,
       onCrashed: ({ id }) => {
-        entry.isBeating = false
-        clock.at(clock.now() + SILENT_HEARTBEATS * heartbeatMs, () => this.expire(entry, id))
+        entry.sendsHeartbeats = false
+        clock.at(clock.now() + MISSED_HEARTBEATS * heartbeatMs, () => this.expire(entry, id))
       },
       onStarted: () => {
         if (entry.address !== '') {
-          entry.isBeating = true
-          this.write(entry)
+          entry.sendsHeartbeats = true
+          this.writeEntry(entry)
         }
       }
     }, runner)
-    const entry: Registered = { server, runner, service, zone, address: '', isBeating: false }
+    const entry: RegisteredServer = { server, runner, service, zone, address: '', sendsHeartbeats: false }
     this.servers.push(server)
     await server.listen(host)
-    entry.address = await this.reach(server.address)
-    entry.isBeating = true
+    entry.address = await this.openLink(server.address)
+    entry.sendsHeartbeats = true
     this.registered.push(entry)
-    this.write(entry)
+    this.writeEntry(entry)
     return server
   }
 
-  /** A server that is back under its id keeps the entry. */
-  private expire ({ isBeating, server }: Registered, id: string): void {
-    if (!isBeating || server.id !== id) {
+  /** Removes the entry of a crashed server, unless the server restarted under the same id. */
+  private expire ({ sendsHeartbeats, server }: RegisteredServer, id: string): void {
+    if (!sendsHeartbeats || server.id !== id) {
       this.store.put(SERVERS_TOPIC, id, undefined)
     }
   }
 
-  private async reach (address: string): Promise<string> {
+  private async openLink (address: string): Promise<string> {
     if (this.options.hasLinks !== true) {
       return address
     }
@@ -240,18 +240,18 @@
     return await link.listen(this.options.host)
   }
 
-  private beat (): void {
+  private scheduleHeartbeats (): void {
     const { clock, heartbeatMs } = this.options
-    this.beatAll()
-    this.cancelBeat = clock.at(clock.now() + heartbeatMs, () => this.beat())
+    this.writeEntries()
+    this.cancelHeartbeat = clock.at(clock.now() + heartbeatMs, () => this.scheduleHeartbeats())
   }
 
-  private beatAll (): void {
-    this.registered.filter(({ isBeating }) => isBeating).forEach(entry => this.write(entry))
+  private writeEntries (): void {
+    this.registered.filter(({ sendsHeartbeats }) => sendsHeartbeats).forEach(entry => this.writeEntry(entry))
   }
 
-  private write ({ server, runner, service, zone, address }: Registered): void {
-    this.beats += 1
+  private writeEntry ({ server, runner, service, zone, address }: RegisteredServer): void {
+    this.entrySequence += 1
     this.store.put(SERVERS_TOPIC, server.id, {
       service,
       address,
@@ -262,7 +262,7 @@
       cold_left_ms: 0,
       stage: 'both',
       models: runner instanceof EngineRunner ? runner.models() : [],
-      seq: this.beats,
+      seq: this.entrySequence,
       born: server.startedAt
     })
   }
--- a/packages/foxtaillever-standins/src/platform/readBody.ts
+++ b/packages/foxtaillever-standins/src/platform/readBody.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from 'node:http'
 
-/** The whole body of a request. */
+/** Reads the whole body of a request. */
 export async function readBody (request: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = []
   for await (const chunk of request) {
--- a/packages/foxtaillever-standins/src/platform/store/partition.ts
+++ b/packages/foxtaillever-standins/src/platform/store/partition.ts
@@ -1,10 +1,10 @@
 /**
- * One partition of a topic in the stand-in of the users' store: records by
- * offset, limited retention, conditions on appends, and the newest of each key.
+ * One partition of a topic in the stand-in of the users' store: records by offset,
+ * limited retention, conditional appends, and the newest record of each key.
  */
 import { Left, Right, type Either } from 'purify-ts'
 
-/** Answers of appends that a producer may ask for again. */
+/** Newest appends of a producer that it may repeat to get the same answer. */
 const REPEATABLE_APPENDS = 5
 
 export interface StoredRecord {
@@ -15,11 +15,11 @@
 
 export interface KeyedContent {
   readonly key: string
-  /** Empty when the key was dropped. */
+  /** Empty if the key was deleted. */
   readonly value: Buffer
 }
 
-/** Numbers the appends of one writer, so that a repeat has no second effect. */
+/** Numbers the appends of one writer, so that a repeated append has no second effect. */
 export interface ProducerMark {
   readonly producer: string
   readonly epoch: number
@@ -27,17 +27,17 @@
 }
 
 export interface AppendConditions {
-  /** Where the partition has to end. */
+  /** Expected end of the partition. */
   readonly at?: number
   readonly mark?: ProducerMark
 }
 
-export interface Appended {
+export interface AppendedRange {
   readonly offset: number
   readonly end: number
 }
 
-/** Why an append had no effect: status and body of the answer. */
+/** Answer to an append that had no effect. */
 export interface AppendRefusal {
   readonly status: number
   readonly body: object
@@ -46,10 +46,10 @@
 interface Producer {
   readonly epoch: number
   sequence: number | undefined
-  readonly answers: Map<number, Appended>
+  readonly answers: Map<number, AppendedRange>
 }
 
-/** Length of the key in one byte, the key, the value. */
+/** Reads a keyed record: length of the key in one byte, the key, the value. */
 export function readKeyedContent (content: Buffer): KeyedContent {
   const end = 1 + (content[0] ?? 0)
   return { key: content.toString('utf8', 1, end), value: content.subarray(end) }
@@ -72,7 +72,7 @@
     return new Partition(isKeyed)
   }
 
-  /** The same records, independent of this partition from now on. */
+  /** Returns an independent copy of this partition. */
   copy (): Partition {
     const copy = Partition.create(this.isKeyed)
     copy.records = [...this.records]
@@ -82,30 +82,30 @@
     return copy
   }
 
-  /** First offset that is kept. */
+  /** First retained offset. */
   get first (): number {
     return this.records[0]?.offset ?? this.end
   }
 
-  append (contents: readonly Buffer[], { at, mark }: AppendConditions, now: number): Either<AppendRefusal, Appended> {
+  append (contents: readonly Buffer[], { at, mark }: AppendConditions, now: number): Either<AppendRefusal, AppendedRange> {
     const known = mark && this.checkProducer(mark)
     if (known?.isLeft() === true || known?.orDefault(undefined) !== undefined) {
-      return known as Either<AppendRefusal, Appended>
+      return known as Either<AppendRefusal, AppendedRange>
     }
     if (at !== undefined && at !== this.end) {
       return Left({ status: 412, body: { end: this.end } })
     }
     const offset = this.end
-    contents.forEach(content => this.add(content, now))
+    contents.forEach(content => this.addRecord(content, now))
     const appended = { offset, end: this.end }
     if (mark) {
-      this.note(mark, contents.length > 0 ? appended : undefined)
+      this.recordAppend(mark, contents.length > 0 ? appended : undefined)
     }
     return Right(appended)
   }
 
-  /** Left: refused. Right with an answer: a repeat. */
-  private checkProducer ({ producer, epoch, sequence }: ProducerMark): Either<AppendRefusal, Appended | undefined> {
+  /** Left if the append is refused; Right with the first answer if it is a repeat. */
+  private checkProducer ({ producer, epoch, sequence }: ProducerMark): Either<AppendRefusal, AppendedRange | undefined> {
     const known = this.producers.get(producer)
     if (!known || epoch > known.epoch) {
       return Right(undefined)
@@ -118,7 +118,7 @@
     return before !== undefined || sequence === expected ? Right(before) : Left({ status: 409, body: { why: 'seq', seq: expected } })
   }
 
-  private note ({ producer, epoch, sequence }: ProducerMark, appended: Appended | undefined): void {
+  private recordAppend ({ producer, epoch, sequence }: ProducerMark, appended: AppendedRange | undefined): void {
     const known = this.producers.get(producer)
     const current: Producer = known?.epoch === epoch ? known : { epoch, sequence: undefined, answers: new Map() }
     this.producers.set(producer, current)
@@ -129,7 +129,7 @@
     }
   }
 
-  private add (content: Buffer, now: number): void {
+  private addRecord (content: Buffer, now: number): void {
     const offset = this.end++
     this.records.push({ offset, content, appendedAt: now })
     if (!this.isKeyed) {
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Undefined when the records from there on are not all kept, or the partition ends before. */
+  /** Undefined if not all records from the offset on are retained, or if the partition ends before it. */
   read (from: number): readonly StoredRecord[] | undefined {
     return from < this.first || from > this.end ? undefined : this.records.slice(from - this.first)
   }
--- a/packages/foxtaillever-standins/src/platform/store/recordFrames.ts
+++ b/packages/foxtaillever-standins/src/platform/store/recordFrames.ts
@@ -1,4 +1,4 @@
-/** Records as bytes: each behind its length, after a read also behind the offsets of the partition. */
+/** Encodes and decodes records: each follows its length, and a page of records follows the offsets of its partition. */
 
 const LENGTH_BYTES = 4
 const OFFSET_BYTES = 8
--- a/packages/foxtaillever-standins/src/platform/store/storeFaults.ts
+++ b/packages/foxtaillever-standins/src/platform/store/storeFaults.ts
@@ -1,20 +1,20 @@
-/** Faults of the stand-in store, switched at run time; each address of the store has its own. */
+/** Faults of the stand-in store, set at run time for each address of the store. */
 
 export enum StoreMode {
   Up = 'up',
-  /** Every call is refused with word that nothing was done. */
+  /** Every call is refused with a status that says that nothing was done. */
   Refusing = 'refusing',
   /** Every connection is reset. */
   Resetting = 'resetting',
-  /** Calls are taken and never answered; they have no effect. */
+  /** Calls are read, never answered and have no effect. */
   Silent = 'silent'
 }
 
-/** What becomes of the next appends. */
+/** Faults of appends. */
 export enum AppendFault {
-  /** Carried out; the answer is lost and the connection says nothing more. */
+  /** The append takes effect; its answer is lost and the connection stays silent. */
   AnswerLost = 'answer-lost',
-  /** No answer; carried out later, if the condition still holds. */
+  /** No answer; the append takes effect later, if its condition still holds. */
   Late = 'late'
 }
 
@@ -22,17 +22,17 @@
   mode: StoreMode
   /** Added to each answer, milliseconds. */
   slownessMs: number
-  /** Taken by one append each, the first first. */
+  /** Each applies to one of the next appends, in order. */
   readonly appends: AppendFault[]
-  /** When a late append is carried out after its call, milliseconds. */
+  /** Time from the call of a late append to its effect, milliseconds. */
   lateMs: number
-  /** Answers name the store's era. */
-  namesEra: boolean
+  /** Whether answers state the store's era. */
+  sendsEra: boolean
 }
 
-/** Long enough that the caller has given up on the answer, milliseconds. */
+/** Longer than the caller's timeout, milliseconds. */
 const DEFAULT_LATE_MS = 900
 
 export function createStoreFaults (): StoreFaults {
-  return { mode: StoreMode.Up, slownessMs: 0, appends: [], lateMs: DEFAULT_LATE_MS, namesEra: true }
+  return { mode: StoreMode.Up, slownessMs: 0, appends: [], lateMs: DEFAULT_LATE_MS, sendsEra: true }
 }
--- a/packages/foxtaillever-standins/src/platform/store/storeModel.ts
+++ b/packages/foxtaillever-standins/src/platform/store/storeModel.ts
@@ -1,23 +1,23 @@
-/** The users' store as a model: topics of partitions, and readers who wait for records. */
+/** Model of the users' store: topics of partitions, and readers that wait for records. */
 import type { Clock } from 'foxtaillever-core'
 import { createKeyedContent, Partition } from './partition.js'
 import { Watchers } from '../watchers.js'
 
 const KEYED_PREFIX = 'keyed.'
 
-/** Topics of the platform itself; instances only read them. */
+/** Topics that only the platform writes; instances read them. */
 export const OPERATORS_TOPIC = 'keyed.op'
 export const SERVERS_TOPIC = 'keyed.servers'
 
-/** What the store held at an instant, by topic and partition. */
+/** Copy of the store's contents, by topic and partition. */
 export type StoreCopy = ReadonlyMap<string, Partition>
 
 export class StoreModel {
   private readonly partitions = new Map<string, Partition>()
-  /** Rises each time the store is restored from a copy. */
+  /** Increases each time the store is restored from a copy. */
   era = 0
-  /** No call gets through. */
-  isAway = false
+  /** Whether no call reaches the store. */
+  isUnreachable = false
   private readonly watchers: Watchers
 
   private constructor (private readonly clock: Clock) {
@@ -35,35 +35,35 @@
     return known
   }
 
-  /** Writes as the platform does, past all faults. */
+  /** Writes a record as the platform does; faults don't apply. */
   put (topic: string, key: string, value: object | undefined): void {
     const bytes = value === undefined ? Buffer.alloc(0) : Buffer.from(JSON.stringify(value))
     this.putBytes(topic, key, bytes)
   }
 
   putBytes (topic: string, key: string, value: Buffer): void {
-    this.partition(topic).append([createKeyedContent(key, value)], {}, this.clock.now()).ifRight(() => this.changed())
+    this.partition(topic).append([createKeyedContent(key, value)], {}, this.clock.now()).ifRight(() => this.wakeReaders())
   }
 
   copy (): StoreCopy {
     return new Map([...this.partitions].map(([name, partition]) => [name, partition.copy()]))
   }
 
-  /** Loses everything since the copy was made; offsets since then are given out again. */
+  /** Replaces the contents with the copy. Later records are lost, and their offsets are assigned again. */
   restore (copy: StoreCopy): void {
     this.partitions.clear()
     copy.forEach((partition, name) => this.partitions.set(name, partition.copy()))
     this.era += 1
-    this.changed()
+    this.wakeReaders()
   }
 
-  /** Records so far are forgotten; the newest of each key stays. */
+  /** Drops all records but the newest of each key. */
   compact (): void {
     this.partitions.forEach(partition => partition.trim(partition.end))
   }
 
-  /** Somebody waits for records and may look again. */
-  changed (): void {
+  /** Wakes readers that wait for records. */
+  wakeReaders (): void {
     this.watchers.wake()
   }
 
--- a/packages/foxtaillever-standins/src/platform/store/storeServer.ts
+++ b/packages/foxtaillever-standins/src/platform/store/storeServer.ts
@@ -1,7 +1,7 @@
 /**
- * Puts the store model on loopback addresses. Each address is one way to the
- * store with faults of its own, so that some callers can be turned away while
- * others are served.
+ * Serves the store model on a loopback address. Several servers may serve one
+ * store, each with its own faults, so that some callers are refused while others
+ * are served.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -12,10 +12,10 @@
 import { AppendFault, createStoreFaults, StoreMode, type StoreFaults } from './storeFaults.js'
 import { OPERATORS_TOPIC, SERVERS_TOPIC, type StoreModel } from './storeModel.js'
 
-/** Items in one page of newest records. */
+/** Items in a page of newest records. */
 const PAGE_ITEMS = 500
 
-const readOnly = new Set([OPERATORS_TOPIC, SERVERS_TOPIC])
+const readOnlyTopics = new Set([OPERATORS_TOPIC, SERVERS_TOPIC])
 
 interface Answer {
   readonly status: number
@@ -54,7 +54,7 @@
       '/log-trim': query => this.trim(query)
     }
     this.server = createServer((request, response) => {
-      this.take(request, response).catch((error: Error) => response.destroy(error))
+      this.handleRequest(request, response).catch((error: Error) => response.destroy(error))
     })
   }
 
@@ -68,7 +68,7 @@
     return `${host}:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Switches faults; connections of before end where the new mode lets none live. */
+  /** Sets the mode; resetting closes open connections. */
   setMode (mode: StoreMode): void {
     this.faults.mode = mode
     if (mode === StoreMode.Resetting) {
@@ -86,7 +86,7 @@
     this.server.closeAllConnections()
   }
 
-  private async take (request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleRequest (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { pathname, searchParams } = new URL(request.url ?? '', 'http://store')
     this.calls.set(pathname, (this.calls.get(pathname) ?? 0) + 1)
     const body = await readBody(request)
@@ -94,13 +94,13 @@
     if (mode === StoreMode.Silent) {
       return
     }
-    if (mode === StoreMode.Resetting || this.model.isAway) {
+    if (mode === StoreMode.Resetting || this.model.isUnreachable) {
       request.socket.destroy()
       return
     }
     await waitUntil(this.clock, this.clock.now() + slownessMs)
     const answer = await this.answer(pathname, searchParams, body)
-    // A mode that came while the call was held has the last word.
+    // The mode may have changed while the call was held; the new mode applies.
     if (answer && this.faults.mode === StoreMode.Up) {
       response.writeHead(answer.status, { ...this.eraHeader(), 'Content-Length': answer.body.length })
       response.end(answer.body)
@@ -110,7 +110,7 @@
   }
 
   private eraHeader (): Record<string, string> {
-    return this.faults.namesEra ? { 'Store-Era': String(this.model.era) } : {}
+    return this.faults.sendsEra ? { 'Store-Era': String(this.model.era) } : {}
   }
 
   /** Undefined when the answer is lost. */
@@ -130,14 +130,14 @@
 
   private append (query: URLSearchParams, body: Buffer): Answer {
     const topic = query.get('topic') ?? ''
-    if (readOnly.has(topic)) {
+    if (readOnlyTopics.has(topic)) {
       return json(403, {})
     }
     const partition = this.model.partition(topic, numberOf(query, 'part'))
     return partition.append(splitRecords(body), conditionsOf(query), this.clock.now()).caseOf({
       Left: refusal => json(refusal.status, refusal.body),
       Right: appended => {
-        this.model.changed()
+        this.model.wakeReaders()
         return json(200, appended)
       }
     })
--- a/packages/foxtaillever-standins/src/platform/watchers.ts
+++ b/packages/foxtaillever-standins/src/platform/watchers.ts
@@ -10,7 +10,7 @@
     return new Watchers(clock)
   }
 
-  /** All that wait look again. */
+  /** Wakes all waiting readers, which check again. */
   wake (): void {
     this.watchers.forEach(watcher => watcher())
   }
--- a/packages/foxtaillever-standins/src/platform/weightStoreModel.ts
+++ b/packages/foxtaillever-standins/src/platform/weightStoreModel.ts
@@ -1,18 +1,18 @@
 /**
- * Model of the rate-limited weight store: one load takes 0.4 s; when more than
- * two go on at once they share its rate, so each takes longer.
+ * Model of the rate-limited weight store: a load takes 0.4 s. More than two
+ * concurrent loads share its rate, so each takes longer.
  */
 import type { Cancellation, Clock } from 'foxtaillever-core'
 
-/** What an engine needs of the store. */
+/** Operation of the store that engines use. */
 export interface WeightStore {
   load: (done: () => void) => void
 }
 
-/** A load alone, milliseconds; from the users' brief. */
+/** Duration of a load at full rate, milliseconds; given by the users. */
 const LOAD_MS = 400
 
-/** Loads at once at full rate; from the users' brief. */
+/** Concurrent loads that run at full rate; given by the users. */
 const LOADS_AT_FULL_RATE = 2
 
 interface Load {
@@ -21,9 +21,9 @@
 }
 
 export interface WeightStoreFaults {
-  /** Loads stand still. */
+  /** Loads make no progress. */
   outage: boolean
-  /** How many times slower each load is; 1 for none. */
+  /** Factor by which each load is slower; 1 for normal speed. */
   slowFactor: number
 }
 
@@ -31,10 +31,10 @@
   private loads: Load[] = []
   private advancedAt: number
   private cancelNext: Cancellation = () => {}
-  /** Most loads at once so far, for oracles. */
-  mostAtOnce = 0
-  /** Loads begun so far. */
-  begun = 0
+  /** Most concurrent loads so far, for oracles. */
+  maxConcurrentLoads = 0
+  /** Loads started so far. */
+  loadsStarted = 0
   readonly faults: WeightStoreFaults = { outage: false, slowFactor: 1 }
 
   private constructor (private readonly clock: Clock) {
@@ -46,17 +46,17 @@
   }
 
   load (done: () => void): void {
-    this.advance()
+    this.updateProgress()
     this.loads.push({ leftMs: LOAD_MS, done })
-    this.begun += 1
-    this.mostAtOnce = Math.max(this.mostAtOnce, this.loads.length)
-    this.plan()
+    this.loadsStarted += 1
+    this.maxConcurrentLoads = Math.max(this.maxConcurrentLoads, this.loads.length)
+    this.scheduleNextFinish()
   }
 
   setFaults (faults: Partial<WeightStoreFaults>): void {
-    this.advance()
+    this.updateProgress()
     Object.assign(this.faults, faults)
-    this.plan()
+    this.scheduleNextFinish()
   }
 
   /** Progress of each load in one millisecond, milliseconds. */
@@ -67,28 +67,28 @@
     return Math.min(1, LOADS_AT_FULL_RATE / Math.max(1, this.loads.length)) / this.faults.slowFactor
   }
 
-  private advance (): void {
+  private updateProgress (): void {
     const now = this.clock.now()
     const progress = (now - this.advancedAt) * this.rate()
     this.advancedAt = now
     this.loads.forEach(load => { load.leftMs -= progress })
   }
 
-  private plan (): void {
+  private scheduleNextFinish (): void {
     this.cancelNext()
-    const least = Math.min(...this.loads.map(load => load.leftMs))
+    const minLeftMs = Math.min(...this.loads.map(load => load.leftMs))
     if (this.loads.length === 0 || this.rate() === 0) {
       return
     }
-    this.cancelNext = this.clock.at(this.clock.now() + Math.max(0, least) / this.rate(), () => this.finishDue())
+    this.cancelNext = this.clock.at(this.clock.now() + Math.max(0, minLeftMs) / this.rate(), () => this.finishDue())
   }
 
   private finishDue (): void {
-    this.advance()
-    // Rounding leaves a trace of a load that is done.
+    this.updateProgress()
+    // Rounding may leave a small remainder of a load that is done.
     const due = this.loads.filter(load => load.leftMs < 0.001)
     this.loads = this.loads.filter(load => !due.includes(load))
-    this.plan()
+    this.scheduleNextFinish()
     due.forEach(load => load.done())
   }
 }
--- a/packages/foxtaillever-standins/src/platform/weightStoreServer.ts
+++ b/packages/foxtaillever-standins/src/platform/weightStoreServer.ts
@@ -1,4 +1,4 @@
-/** Puts the weight store on a socket: a load is answered when it is done. */
+/** Serves the weight store over HTTP: a load is answered when it is done. */
 import fastify, { type FastifyInstance } from 'fastify'
 import type { WeightStore, WeightStoreFaults, WeightStoreModel } from './weightStoreModel.js'
 
@@ -6,7 +6,7 @@
   const server = fastify({ forceCloseConnections: true })
   server.post('/loads', async () => {
     await new Promise<void>(resolve => model.load(resolve))
-    return { mostAtOnce: model.mostAtOnce }
+    return { mostAtOnce: model.maxConcurrentLoads }
   })
   server.post('/faults', async (request) => {
     model.setFaults(request.body as Partial<WeightStoreFaults>)
@@ -15,7 +15,7 @@
   return server
 }
 
-/** The weight store of another process; a load whose answer is lost is asked for again. */
+/** Connects to the weight store of another process; a load whose answer is lost is retried. */
 export function connectWeightStore (address: string): WeightStore {
   const load = async (): Promise<void> => {
     const answer = await fetch(`${address}/loads`, { method: 'POST' }).catch(() => undefined)
