--- a/packages/foxtaillever-relay/src/callers/__tests__/callerConnections.test.ts
+++ b/packages/foxtaillever-relay/src/callers/__tests__/callerConnections.test.ts
@@ -20,7 +20,7 @@
 async function createRig (): Promise<Rig> {
   const server = createServer()
   const connections = CallerConnections.create(server)
-  server.on('request', (request, response) => connections.hold(request.socket, response))
+  server.on('request', (request, response) => connections.trackRequest(request.socket, response))
   server.listen(0, '127.0.0.1')
   await once(server, 'listening')
   const { port } = server.address() as AddressInfo
--- a/packages/foxtaillever-relay/src/callers/answerFailure.ts
+++ b/packages/foxtaillever-relay/src/callers/answerFailure.ts
@@ -1,4 +1,4 @@
-/** A failure as a caller gets it: status, verdict, and when to come back. */
+/** Sends a failure to a caller: status, verdict, and when to retry. */
 import type { ServerResponse } from 'node:http'
 import { FailureCode, Verdict, type Failure } from 'foxtaillever-core'
 
@@ -10,9 +10,9 @@
   [FailureCode.AccountOverLimit]: 429
 }
 
-/** These promise callers that the request has not run and never will. */
+/** Promises callers that the request has not run and never will. */
 const NOT_RUN_STATUS = 503
-/** These promise nothing. */
+/** These two statuses promise nothing. */
 const DEADLINE_STATUS = 504
 const MAY_HAVE_RUN_STATUS = 502
 
--- a/packages/foxtaillever-relay/src/callers/callerConnections.ts
+++ b/packages/foxtaillever-relay/src/callers/callerConnections.ts
@@ -1,14 +1,14 @@
 /**
- * Callers' connections at a shutdown. node:http closes only connections that
- * have had a request: one that was opened and not used yet stays, and one whose
- * answer began before the shutdown is kept after it. A request that comes on
- * either much later would be cut when the process ends.
+ * Closes callers' connections at a shutdown. node:http closes only idle
+ * connections that have had a request. It leaves open a connection that was never
+ * used, and one whose answer began before the shutdown. A later request on such
+ * a connection would be cut when the process ends.
  */
 import type { Server, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 
 export class CallerConnections {
-  /** Requests of each connection that are not answered to the end. */
+  /** Number of requests of each connection whose answer is not complete. */
   private readonly unanswered = new Map<Socket, number>()
   private isClosing = false
 
@@ -16,17 +16,17 @@
 
   static create (server: Server): CallerConnections {
     const connections = new CallerConnections()
-    server.on('connection', socket => connections.add(socket))
+    server.on('connection', socket => connections.addConnection(socket))
     return connections
   }
 
-  /** A request was read; its connection stays until the answer is out. */
-  hold (socket: Socket, response: ServerResponse): void {
+  /** Keeps the connection of a request open until its answer is sent. */
+  trackRequest (socket: Socket, response: ServerResponse): void {
     this.unanswered.set(socket, (this.unanswered.get(socket) ?? 0) + 1)
-    response.once('close', () => this.release(socket))
+    response.once('close', () => this.handleAnswerClosed(socket))
   }
 
-  /** Closes each connection that owes no answer, and the others after their last. */
+  /** Closes connections without a pending answer now, and the others after their last answer. */
   close (): void {
     this.isClosing = true
     for (const [socket, count] of this.unanswered) {
@@ -36,12 +36,12 @@
     }
   }
 
-  private add (socket: Socket): void {
+  private addConnection (socket: Socket): void {
     this.unanswered.set(socket, 0)
     socket.once('close', () => this.unanswered.delete(socket))
   }
 
-  private release (socket: Socket): void {
+  private handleAnswerClosed (socket: Socket): void {
     const count = this.unanswered.get(socket)
     if (count === undefined) {
       return
--- a/packages/foxtaillever-relay/src/callers/callerServer.ts
+++ b/packages/foxtaillever-relay/src/callers/callerServer.ts
@@ -1,6 +1,7 @@
 /**
- * Takes requests from callers: checks the head against the configuration in
- * force, reads the body within its bounds, and hands the exchange over.
+ * The HTTP server for callers. Checks the head of a request against the
+ * configuration in force, reads the body up to its limit, and passes the
+ * exchange on.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -15,10 +16,10 @@
 import { answerFailure } from './answerFailure.js'
 import { CallerConnections } from './callerConnections.js'
 
-/** How often node:http looks for requests whose head takes too long, milliseconds. */
+/** How often node:http checks for requests whose head takes too long, milliseconds. */
 const HEADER_CHECK_MS = 1000
 
-/** Callers use a connection until shortly before its announced end; ours ends later, so that no request crosses it, milliseconds. */
+/** Callers use an idle connection until shortly before its announced end. It is closed here this much later, milliseconds, so that no request meets the close. */
 const IDLE_MARGIN_MS = 1000
 
 /** Limits until a configuration is known. */
@@ -38,10 +39,10 @@
   private readonly server: Server
   private readonly connections: CallerConnections
   private limits = defaultLimits
-  private isLeaving = false
+  private isKeepAliveEnded = false
 
   private constructor (private readonly options: CallerServerOptions) {
-    this.server = createServer({ connectionsCheckingInterval: HEADER_CHECK_MS, requestTimeout: 0, noDelay: true }, (request, response) => this.take(request, response))
+    this.server = createServer({ connectionsCheckingInterval: HEADER_CHECK_MS, requestTimeout: 0, noDelay: true }, (request, response) => this.handleRequest(request, response))
     this.connections = CallerConnections.create(this.server)
     this.setLimits(defaultLimits)
   }
@@ -66,20 +67,20 @@
     this.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS
   }
 
-  /** From now on each answer is the last on its connection. */
-  leave (): void {
-    this.isLeaving = true
+  /** From now on each answer closes its connection. */
+  endKeepAlive (): void {
+    this.isKeepAliveEnded = true
   }
 
-  /** Takes no new connections and closes those without a request. */
+  /** Accepts no new connections, and closes those without a request. */
   close (): void {
     this.server.close()
     this.connections.close()
   }
 
-  private take (request: IncomingMessage, response: ServerResponse): void {
-    this.connections.hold(request.socket, response)
-    if (this.isLeaving) {
+  private handleRequest (request: IncomingMessage, response: ServerResponse): void {
+    this.connections.trackRequest(request.socket, response)
+    if (this.isKeepAliveEnded) {
       response.shouldKeepAlive = false
     }
     const { wire, log } = this.options
@@ -88,11 +89,11 @@
         log.malformed(reason)
         answerFailure(response, Failure.notRun(FailureCode.BadRequest, reason), this.options.clock.now())
       },
-      Right: head => this.takeHead(head, request, response)
+      Right: head => this.handleHead(head, request, response)
     })
   }
 
-  private takeHead (head: ExchangeHead, request: IncomingMessage, response: ServerResponse): void {
+  private handleHead (head: ExchangeHead, request: IncomingMessage, response: ServerResponse): void {
     const { clock, random, table, log, onExchange } = this.options
     const arrivedAt = clock.now()
     const refuse = (failure: Failure): void => {
@@ -118,14 +119,14 @@
       })
   }
 
-  /** A body beyond the limit is refused as soon as that is known, and its connection ends. */
+  /** A body that exceeds the limit is refused as soon as that is known, and its connection is closed. */
   private readBody (request: IncomingMessage, response: ServerResponse, refuse: (failure: Failure) => void, onBody: (body: Buffer) => void): void {
     const { bodyBytes } = this.limits
     const chunks: Buffer[] = []
     let length = 0
-    let isOver = false
+    let isRefusedOrFailed = false
     const refuseTooLarge = (): void => {
-      isOver = true
+      isRefusedOrFailed = true
       response.shouldKeepAlive = false
       refuse(Failure.notRun(FailureCode.TooLarge, 'The body is larger than allowed.'))
     }
@@ -135,19 +136,19 @@
     }
     request.on('data', (chunk: Buffer) => {
       length += chunk.length
-      if (length > bodyBytes && !isOver) {
+      if (length > bodyBytes && !isRefusedOrFailed) {
         refuseTooLarge()
       }
-      if (!isOver) {
+      if (!isRefusedOrFailed) {
         chunks.push(chunk)
       }
     })
     request.on('end', () => {
-      if (!isOver) {
+      if (!isRefusedOrFailed) {
         onBody(chunks.length === 1 ? chunks[0] as Buffer : Buffer.concat(chunks))
       }
     })
-    // A caller that leaves while it sends has nothing to hear.
-    request.on('error', () => { isOver = true })
+    // The caller closed the connection while it was sending; nothing can be answered.
+    request.on('error', () => { isRefusedOrFailed = true })
   }
 }
--- a/packages/foxtaillever-relay/src/callers/readinessServer.ts
+++ b/packages/foxtaillever-relay/src/callers/readinessServer.ts
@@ -1,4 +1,4 @@
-/** Tells the balancer whether callers may be sent here; the body says nothing. */
+/** Answers the load balancer's readiness checks by the status alone; the body is empty. */
 import { createServer, type Server } from 'node:http'
 
 const READY_STATUS = 200
--- a/packages/foxtaillever-relay/src/exchange/answerRelay.ts
+++ b/packages/foxtaillever-relay/src/exchange/answerRelay.ts
@@ -85,7 +85,7 @@
       this.write(event)
       this.lastEventId = id === '' ? this.lastEventId : id
     }
-    return this.splitter.isOverfull ? 'an event is too large' : undefined
+    return this.splitter.isEventTooLarge ? 'an event is too large' : undefined
   }
 
   /**
@@ -94,7 +94,7 @@
    * the middle of an event looks like one that has finished.
    */
   findTruncation (): string | undefined {
-    return this.isStreaming && this.head?.isFramed === false && this.splitter.rest.length > 0 ? 'ended in the middle of an event' : undefined
+    return this.isStreaming && this.head?.isFramed === false && this.splitter.incompleteEvent.length > 0 ? 'ended in the middle of an event' : undefined
   }
 
   /** Sends the rest of a complete answer. */
@@ -105,7 +105,7 @@
     }
     if (this.isStreaming) {
       this.beginAnswer()
-      this.write(this.splitter.rest)
+      this.write(this.splitter.incompleteEvent)
     }
     if (answer.hasBegun) {
       answer.end()
--- a/packages/foxtaillever-relay/src/model/exchange.ts
+++ b/packages/foxtaillever-relay/src/model/exchange.ts
@@ -1,10 +1,10 @@
 /**
  * One request of a caller as the core handles it. Method, path, headers and
- * body are opaque: they are passed on and never read here.
+ * body are opaque: they are forwarded and never interpreted here.
  */
 import { Repeatability, type RelayAccount, type Route } from './routing.js'
 
-/** One level of a prompt; levels shared between requests come first. */
+/** One level (prefix segment) of a prompt; levels that requests share come first. */
 export interface PromptLevel {
   readonly id: string
   readonly tokens: number
@@ -17,21 +17,21 @@
   readonly outputTokens: number
 }
 
-/** What the adapter reads from the head of a caller's request. */
+/** Fields that the adapter reads from the head of a caller's request. */
 export interface ExchangeHead {
-  /** Each try of a caller has its own. */
+  /** Unique for each attempt of the caller. */
   readonly id: string
   readonly method: string
   /** Path with query, as sent. */
   readonly path: string
   readonly host: string
-  /** Names and values in turn, without those that the system sets or consumes. */
+  /** Names and values alternating, without the headers that the relay sets or consumes. */
   readonly headers: readonly string[]
   readonly apiKey: string | undefined
-  /** How long the caller will wait from its request on, milliseconds; undefined when not said. */
+  /** How long the caller waits for the answer, milliseconds; undefined if it does not say. */
   readonly patienceMs: number | undefined
   readonly prompt: Prompt | undefined
-  /** Last event that the caller already has; empty for none. */
+  /** Id of the last event that the caller has received; empty for none. */
   readonly resumeAfter: string
 }
 
@@ -48,12 +48,12 @@
   readonly deadline: number
 }
 
-/** Tokens of a server's memory that it takes until its end, at most. */
+/** Upper bound of the tokens that the request occupies in a server's memory until it ends. */
 export function heldTokensOf ({ prompt }: Exchange): number {
   return prompt ? prompt.promptTokens + prompt.outputTokens : 0
 }
 
-/** Whether running it twice does no harm. */
+/** Whether the request may run more than once. */
 export function isRepeatable ({ route }: Exchange): boolean {
   return route.repeatability === Repeatability.Idempotent || (route.isStream && route.isResumable)
 }
--- a/packages/foxtaillever-relay/src/model/limitStatement.ts
+++ b/packages/foxtaillever-relay/src/model/limitStatement.ts
@@ -1,9 +1,9 @@
-/** What an answer states of the rate that its server takes from all instances together. */
+/** The rate limit that a server states in an answer; it applies to all instances together. */
 
 export enum LimitStatementKind {
   Limit = 'limit',
   None = 'none',
-  /** Not a number that could be a rate. */
+  /** A text that is not a valid rate. */
   Unreadable = 'unreadable'
 }
 
@@ -12,5 +12,5 @@
   | { readonly kind: LimitStatementKind.None }
   | { readonly kind: LimitStatementKind.Unreadable, readonly text: string }
 
-/** Of servers whose protocol knows no such limit, too. */
+/** Also used for servers whose protocol has no such limit. */
 export const noLimit: LimitStatement = { kind: LimitStatementKind.None }
--- a/packages/foxtaillever-relay/src/model/listedServer.ts
+++ b/packages/foxtaillever-relay/src/model/listedServer.ts
@@ -4,7 +4,7 @@
   Ready = 'ready',
   /** Will end soon and must get no new work. */
   Draining = 'draining',
-  /** Its newest entry says nothing that can be used; it gets no new work until the next one does. */
+  /** Its newest entry cannot be parsed; the server gets no new work until a valid entry arrives. */
   Unreadable = 'unreadable',
   /** Its entry was removed. */
   Gone = 'gone'
@@ -14,18 +14,18 @@
 export interface ListedServer {
   readonly id: string
   /**
-   * When it started, milliseconds of Unix time; a later start under the same id is
-   * another incarnation, which has nothing of what the former one had. 0 where servers
-   * do not say: each start then has an id of its own.
+   * When it started, milliseconds of Unix time. A later start under the same id is
+   * another incarnation, which keeps no state of the previous one. 0 where servers
+   * do not state it: each start then has an id of its own.
    */
   readonly startedAt: number
   readonly service: string
-  /** IP number and port; given to another server some time after this one has ended. */
+  /** IP address and port; the platform may reuse it for another server some time after this one has ended. */
   readonly address: string
   readonly failureDomain: string
   readonly slots: number
   readonly state: ServerState
-  /** How much longer it is slow after its start, milliseconds. */
+  /** Remaining warm-up time after its start, during which it is slow, milliseconds. */
   readonly coldLeftMs: number
   /** Weights version of each model that it has loaded. */
   readonly weights: ReadonlyMap<string, number>
@@ -37,9 +37,9 @@
   readonly version: number
 }
 
-/** Two entries of one server that differ by their heartbeat alone. */
-export function saysSame (one: ListedServer, other: ListedServer): boolean {
-  return one.startedAt === other.startedAt && one.state === other.state && one.address === other.address && one.service === other.service && one.slots === other.slots &&
-    one.coldLeftMs === other.coldLeftMs && one.weights.size === other.weights.size &&
-    [...one.weights].every(([model, version]) => other.weights.get(model) === version)
+/** Whether two entries of one server differ in nothing but their heartbeat. */
+export function hasSameContent (a: ListedServer, b: ListedServer): boolean {
+  return a.startedAt === b.startedAt && a.state === b.state && a.address === b.address && a.service === b.service && a.slots === b.slots &&
+    a.coldLeftMs === b.coldLeftMs && a.weights.size === b.weights.size &&
+    [...a.weights].every(([model, version]) => b.weights.get(model) === version)
 }
--- a/packages/foxtaillever-relay/src/model/routing.ts
+++ b/packages/foxtaillever-relay/src/model/routing.ts
@@ -1,6 +1,6 @@
 /**
  * What operators configure for relayed traffic: routes, services and client
- * accounts, in the product's own words whatever the platform calls them.
+ * accounts. Names are independent of those in the platform's own format.
  */
 
 /** Whether a request may run more than once. */
@@ -11,7 +11,7 @@
   Once = 'once'
 }
 
-/** A service that a route leads to, and its share of the route's requests. */
+/** A service that a route sends requests to, and its weight among the route's services. */
 export interface RouteTarget {
   readonly service: string
   readonly weight: number
@@ -26,40 +26,40 @@
   readonly repeatability: Repeatability
   /** The answer is a series of events. */
   readonly isStream: boolean
-  /** A broken stream may go on at another backend server after the last event delivered. */
+  /** A broken stream may be resumed at another backend server after the last delivered event. */
   readonly isResumable: boolean
-  /** Requests carry a prompt whose levels engines cache. */
+  /** Requests contain a prompt whose levels engines cache. */
   readonly hasPrompt: boolean
   /** Needs no API key. */
   readonly isPublic: boolean
-  /** Longest time a caller is kept waiting, milliseconds. */
+  /** Maximum time that a caller waits for the complete answer, milliseconds. */
   readonly timeoutMs: number
-  /** Latency objective of the answer, for streams of the first event, milliseconds. */
+  /** Latency objective of the answer or, for streams, of the first event, milliseconds. */
   readonly objectiveMs: number
-  /** Longest pause between events of a good stream, milliseconds; 0 for none. */
+  /** Objective for the longest pause between events of a stream, milliseconds; 0 for none. */
   readonly pauseObjectiveMs: number
-  /** Backend servers that may run one request. */
+  /** Maximum number of backend servers that may run one request. */
   readonly mostAttempts: number
   /** 0 is the most urgent. */
   readonly priority: number
 }
 
-/** What an engine service says of its engines. */
+/** Properties of the engines of a service. */
 export interface EngineTraits {
-  /** Requests that run at once. */
+  /** Number of requests that run concurrently. */
   readonly slots: number
-  /** Room for running requests and cached levels together, tokens. */
+  /** Memory for running requests and cached levels together, tokens. */
   readonly cacheTokens: number
-  /** Memory of one cached token. */
+  /** Size of one cached token in bytes. */
   readonly tokenBytes: number
-  /** Calls for cache events that one engine holds at once. */
+  /** Maximum number of concurrent calls for cache events that one engine accepts. */
   readonly mostEventCalls: number
 }
 
 export interface Service {
   readonly name: string
   readonly healthPath: string
-  /** Connections that one backend server takes from all instances together. */
+  /** Maximum number of connections that one backend server accepts from all instances together. */
   readonly mostConnections: number
   /** Only for engines. */
   readonly engine: EngineTraits | undefined
@@ -67,37 +67,37 @@
 
 /** A store that keeps cached prompt levels apart from the engines. */
 export interface CacheStore {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string
-  /** Of its address; names the levels that are at home there. */
+  /** Hash of the address; decides which levels have their home there. */
   readonly hash: number
   readonly failureDomain: string
   readonly cacheTokens: number
-  /** What its link moves within its failure domain, bytes a millisecond. */
+  /** Bandwidth of its link within its failure domain, bytes per millisecond. */
   readonly linkBytesPerMs: number
 }
 
 /** What a quota counts. */
 export enum QuotaUnit {
   Requests = 'requests',
-  /** Of the prompt and of the answer at most. */
+  /** Tokens of the prompt plus the maximum of the answer. */
   Tokens = 'tokens'
 }
 
-/** What an account may use over all instances. */
+/** What an account may use at all instances together. */
 export interface RelayQuota {
   readonly unit: QuotaUnit
   readonly perSecond: number
-  /** At once, after a pause. */
+  /** Maximum that can be used at once after an idle period. */
   readonly burst: number
-  /** Tokens of a request that does not say how many it has. */
+  /** Token count that is assumed for a request that does not state one. */
   readonly unmeasuredTokens: number
 }
 
 export interface RelayAccount {
   readonly name: string
   readonly apiKeys: readonly string[]
-  /** Goes before the route's priority. */
+  /** Overrides the route's priority. */
   readonly priority: number | undefined
   /** Shares no cached level with any other account. */
   readonly isIsolated: boolean
@@ -105,7 +105,7 @@
   readonly quota: RelayQuota | undefined
 }
 
-/** Bounds on what callers may send, and how long they may take. */
+/** Limits on the size of callers' requests and on the time that callers may take. */
 export interface CallerLimits {
   readonly headerBytes: number
   readonly bodyBytes: number
@@ -113,13 +113,13 @@
   readonly idleTimeoutMs: number
 }
 
-/** One version of everything operators configure. */
+/** One revision of the complete configuration. */
 export interface Routing {
-  /** Only ever rises. */
+  /** Increases with each change. */
   readonly revision: number
   readonly routes: readonly Route[]
   readonly services: ReadonlyMap<string, Service>
-  /** Each level is at home at one of them. */
+  /** Each level has its home at one of these stores. */
   readonly cacheStores: readonly CacheStore[]
   readonly accounts: readonly RelayAccount[]
   readonly limits: CallerLimits
--- a/packages/foxtaillever-relay/src/model/serverStatement.ts
+++ b/packages/foxtaillever-relay/src/model/serverStatement.ts
@@ -1,18 +1,18 @@
-/** What a backend server states of itself in the head of an answer, whatever the answer is about. */
+/** What a backend server states about itself in the head of an answer, regardless of the request. */
 import type { Either } from 'purify-ts'
 import type { LimitStatement } from './limitStatement.js'
 
 export interface ServerStatement {
-  /** Id of the server that answered; undefined when not said. */
+  /** Id of the server that answered; undefined if not stated. */
   readonly serverId: string | undefined
-  /** Id of the request that the answer belongs to; undefined when not said. */
+  /** Id of the request that the answer belongs to; undefined if not stated. */
   readonly requestId: string | undefined
-  /** The answer is to a request that the server took on. */
+  /** The answer is to a request that the server accepted. */
   readonly hasRun: boolean
-  /** It will end soon and must get no new work. */
+  /** The server will end soon and must get no new work. */
   readonly isLeaving: boolean
-  /** It wants nothing from this instance for so long, milliseconds; 0 when it asks for no rest. Left: a text that is no time. */
+  /** Backoff that the server requests from this instance, milliseconds; 0 for none. Left: a text that is not a duration. */
   readonly restMs: Either<string, number>
-  /** The rate that it takes from all instances together. */
+  /** The rate that the server accepts from all instances together. */
   readonly limit: LimitStatement
 }
--- a/packages/foxtaillever-relay/src/model/wire.ts
+++ b/packages/foxtaillever-relay/src/model/wire.ts
@@ -1,6 +1,6 @@
 /**
- * The narrow interfaces to the wire on both sides. An adapter implements them;
- * nothing else knows a header's name.
+ * Interfaces that adapters implement to read and write HTTP headers, towards
+ * callers and towards backend servers. Only adapters know the names of headers.
  */
 import type { IncomingHttpHeaders, IncomingMessage } from 'node:http'
 import type { Either } from 'purify-ts'
@@ -8,13 +8,13 @@
 import type { ListedServer } from './listedServer.js'
 import type { ServerStatement } from './serverStatement.js'
 
-/** What a try tells the backend server besides the caller's request. */
+/** What an attempt sends to the backend server in addition to the caller's request. */
 export interface SendTerms {
   readonly server: ListedServer
-  /** When the server is to stop working on it, milliseconds of Unix time. */
+  /** When the server must stop working on the request, milliseconds of Unix time. */
   readonly deadline: number
   readonly priority: number
-  /** It goes behind requests that can still be in time. */
+  /** The request is queued behind those that can still meet their objective. */
   readonly isYielding: boolean
   /** Identity under which the engine may find and keep cached levels; empty for requests without a prompt. */
   readonly cacheSalt: string
@@ -24,29 +24,29 @@
   readonly fetchFrom: string
   /** Address to which the engine sends the levels that it has read; empty for none. */
   readonly saveTo: string
-  /** Prompt tokens that the server is likely to read rather than find. */
+  /** Estimated prompt tokens that the server computes rather than finds in its cache. */
   readonly unreadTokens: number
-  /** Tokens that the server is likely to fetch, as the link of the store feels them. */
+  /** Estimated tokens that the server fetches, as they load the link of the store. */
   readonly fetchedTokens: number
-  /** When that transfer must be through, milliseconds of Unix time. */
+  /** When that transfer must be finished, milliseconds of Unix time. */
   readonly fetchUntil: number
-  /** Hash of the shared level that is saved with it; undefined for none. */
+  /** Hash of the shared level that the engine saves with this request; undefined for none. */
   readonly savedLevel: number | undefined
-  /** The last event that the caller has; empty for none. */
+  /** Id of the last event that the caller has received; empty for none. */
   readonly resumeAfter: string
 }
 
-/** What an answer's head says, besides status and headers. */
+/** What the head of an answer says beyond its status and the headers that callers get. */
 export interface AnswerMarks {
-  /** Id of the request that the answer belongs to; undefined when not said. */
+  /** Id of the request that the answer belongs to; undefined if not stated. */
   readonly requestId: string | undefined
-  /** The backend server's proof that the answer is its own. */
+  /** The answer has the backend server's stamp, which proves that it comes from that server. */
   readonly isStamped: boolean
   /** The backend server says that it did not run the request and never will. */
   readonly isNotRun: boolean
-  /** Id of the server that answered; undefined when not said. */
+  /** Id of the server that answered; undefined if not stated. */
   readonly serverId: string | undefined
-  /** Weights the answer was made with; undefined when not said. */
+  /** Version of the weights that the answer was computed with; undefined if not stated. */
   readonly weightsVersion: number | undefined
   readonly isEventStream: boolean
 }
@@ -56,17 +56,17 @@
   readonly readHead: (message: IncomingMessage) => Either<string, ExchangeHead>
 }
 
-/** How answers of backend servers are read. */
+/** How the heads of backend servers' answers are read. */
 export interface AnswerWire {
-  /** Statuses that callers read as the promise that the request has not run and never will. */
+  /** Statuses that promise callers that the request has not run and never will. */
   readonly notRunStatuses: ReadonlySet<number>
   readonly readMarks: (status: number, headers: IncomingHttpHeaders) => AnswerMarks
-  /** Headers to pass on to the caller, names and values in turn. */
+  /** Headers to pass on to the caller, names and values alternating. */
   readonly passHeaders: (rawHeaders: readonly string[]) => string[]
 }
 
 export interface ServerWire extends AnswerWire {
   readonly readStatement: (status: number, headers: IncomingHttpHeaders) => ServerStatement
-  /** Headers of a try, names and values in turn. */
+  /** Headers of an attempt, names and values alternating. */
   readonly createHeaders: (exchange: Exchange, terms: SendTerms, now: number) => string[]
 }
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -118,7 +118,7 @@
     this.isLeaving = true
     const until = clock.now() + this.graceMs * (1 - GRACE_KEPT_FREE)
     this.log.belief('Leaving.', { requests: this.desk.runs.size })
-    this.callers.leave()
+    this.callers.endKeepAlive()
     this.peers.sendHeartbeat()
     await waitUntil(clock, clock.now() + STOP_LISTENING_MS)
     this.callers.close()
--- a/packages/foxtaillever-relay/src/servers/serverDirectory.ts
+++ b/packages/foxtaillever-relay/src/servers/serverDirectory.ts
@@ -13,7 +13,7 @@
 import { connectionPart, type ConnectionPart } from 'foxtaillever-policy/relay/connectionPart'
 import { SETTLED_SAMPLES } from 'foxtaillever-policy/relay/prefillSpeed'
 import { StatedState } from 'foxtaillever-policy/relay/statedState'
-import { saysSame, ServerState, type ListedServer } from '../model/listedServer.js'
+import { hasSameContent, ServerState, type ListedServer } from '../model/listedServer.js'
 import type { Routing } from '../model/routing.js'
 import type { SpeedUpdate } from '../peers/peerMessage.js'
 import { createKnownServer, type KnownServer } from './knownServer.js'
@@ -106,7 +106,7 @@
     if (before?.state !== server.listed.state) {
       this.options.onChanged(server.listed, before?.state)
     }
-    return before === undefined || !saysSame(before, server.listed)
+    return before === undefined || !hasSameContent(before, server.listed)
   }
 
   /**
--- a/packages/foxtaillever-relay/src/settings/__tests__/settingsFile.test.ts
+++ b/packages/foxtaillever-relay/src/settings/__tests__/settingsFile.test.ts
@@ -31,10 +31,10 @@
   it('takes over changes at a signal and without one, each once', async t => {
     const { clock, write, file, seen } = createFile()
     t.is(file.readFirst().extract(), 1)
-    file.follow()
+    file.startPolling()
     write('2')
-    file.look()
-    file.look()
+    file.reload()
+    file.reload()
     write('3')
     await clock.advanceBy(5000)
     t.deepEqual(seen, [2, 3])
@@ -43,7 +43,7 @@
   it('keeps the last good settings while the file cannot be read, and says so once', async t => {
     const { clock, write, file, seen } = createFile()
     file.readFirst()
-    file.follow()
+    file.startPolling()
     write('half a fi')
     await clock.advanceBy(9000)
     write(new Error('no such file'))
--- a/packages/foxtaillever-relay/src/settings/settingsFile.ts
+++ b/packages/foxtaillever-relay/src/settings/settingsFile.ts
@@ -1,14 +1,13 @@
 /**
- * Follows a settings file while the process runs. The file may change with a
- * signal or without one, so it is also looked at now and then. What cannot be
- * read changes nothing: the last good settings stay, and the reason is told
- * once for each wrong content.
+ * Reloads a settings file while the process runs. The file may change with a
+ * signal or without one, so it is also polled. When it cannot be read or parsed,
+ * the last valid settings stay, and each reason is reported once.
  */
 import type { Cancellation, Clock } from 'foxtaillever-core'
 import { Either } from 'purify-ts'
 
-/** Between two looks, milliseconds: soon for an operator, and a cheap read each. */
-const LOOK_MS = 2000
+/** A change takes effect soon enough for an operator, and one read is cheap, milliseconds. */
+const POLL_INTERVAL_MS = 2000
 
 export interface SettingsFileOptions<Settings> {
   readonly clock: Clock
@@ -17,14 +16,14 @@
   /** Left says what is wrong. */
   readonly parse: (text: string) => Either<string, Settings>
   readonly onChanged: (settings: Settings) => void
-  /** The file cannot be read or holds no valid settings; the last good ones stay. */
+  /** The file cannot be read or has no valid settings; the last valid ones stay. */
   readonly onRejected: (reason: string) => void
 }
 
 export class SettingsFile<Settings> {
-  private last: string | undefined
+  private lastText: string | undefined
   private lastReason: string | undefined
-  private cancelLook: Cancellation = () => {}
+  private cancelPoll: Cancellation = () => {}
 
   private constructor (private readonly options: SettingsFileOptions<Settings>) {}
 
@@ -32,24 +31,24 @@
     return new SettingsFile(options)
   }
 
-  /** The settings at the start; Left says what is wrong. */
+  /** Reads the settings at the start of the process; Left says what is wrong. */
   readFirst (): Either<string, Settings> {
     return this.readText().chain(text => {
-      this.last = text
+      this.lastText = text
       return this.options.parse(text)
     })
   }
 
-  /** Looks at once, as after a signal. */
-  look (): void {
+  /** Reads the file now, for example after a signal. */
+  reload (): void {
     const { parse, onChanged } = this.options
     this.readText().caseOf({
       Left: reason => this.reject(reason),
       Right: text => {
-        if (text === this.last) {
+        if (text === this.lastText) {
           return
         }
-        this.last = text
+        this.lastText = text
         parse(text).caseOf({
           Left: reason => this.reject(reason),
           Right: settings => {
@@ -61,17 +60,17 @@
     })
   }
 
-  /** Looks now and then until stopped. */
-  follow (): void {
+  /** Reads the file regularly until stopped. */
+  startPolling (): void {
     const { clock } = this.options
-    this.cancelLook = clock.at(clock.now() + LOOK_MS, () => {
-      this.look()
-      this.follow()
+    this.cancelPoll = clock.at(clock.now() + POLL_INTERVAL_MS, () => {
+      this.reload()
+      this.startPolling()
     })
   }
 
   stop (): void {
-    this.cancelLook()
+    this.cancelPoll()
   }
 
   private readText (): Either<string, string> {
--- a/packages/foxtaillever-relay/src/streams/eventFields.ts
+++ b/packages/foxtaillever-relay/src/streams/eventFields.ts
@@ -1,7 +1,7 @@
-/** The fields of one whole event of a stream, for those who read it rather than pass it on. */
+/** Parses the fields of one complete event of a stream. */
 
 export interface EventFields {
-  /** Empty for an ordinary event. */
+  /** Empty for an event without a type. */
   readonly type: string
   readonly id: string
   readonly data: string
@@ -9,14 +9,14 @@
 
 const LINE_END = /\r?\n/
 
-/** Splits a line at its first colon; one space after that belongs to neither side. */
+/** Splits a line at its first colon; one space after the colon is dropped. */
 function readLine (line: string): readonly [name: string, value: string] {
   const colon = line.indexOf(':')
   return colon === -1 ? [line, ''] : [line.slice(0, colon), line.slice(line[colon + 1] === ' ' ? colon + 2 : colon + 1)]
 }
 
 /** Undefined for an event without data, such as a comment. */
-export function readFields (event: Buffer): EventFields | undefined {
+export function readEventFields (event: Buffer): EventFields | undefined {
   let [type, id] = ['', '']
   const data: string[] = []
   for (const line of event.toString('utf8').split(LINE_END)) {
--- a/packages/foxtaillever-relay/src/streams/eventSplitter.ts
+++ b/packages/foxtaillever-relay/src/streams/eventSplitter.ts
@@ -1,17 +1,17 @@
 /**
- * Cuts a stream of events at their ends, without reading more of an event than
- * its id. A backend server that crashes may stop in the middle of an event; the
- * caller gets whole events only, so that the stream can go on elsewhere.
+ * Splits a stream into events and reads no more of an event than its id. A
+ * backend server that crashes may stop in the middle of an event. The caller
+ * gets complete events only, so that the stream can be resumed at another server.
  */
 
 const ID_FIELD = Buffer.from('id:')
 const LINE_END = 0x0a
 const CARRIAGE_RETURN = 0x0d
 
-/** More than any event of a model; a stream without ends would fill the memory. */
-const MOST_CARRIED_BYTES = 1024 * 1024
+/** Larger than any event of a model; a stream whose event never ends would fill the memory. */
+const MAX_EVENT_BYTES = 1024 * 1024
 
-/** One whole event with its end. */
+/** One complete event, including the empty line that ends it. */
 export interface StreamEvent {
   readonly bytes: Buffer
   /** Empty for an event without id. */
@@ -45,7 +45,7 @@
 }
 
 export class EventSplitter {
-  private carried: Buffer = Buffer.alloc(0)
+  private incomplete: Buffer = Buffer.alloc(0)
 
   private constructor () {}
 
@@ -53,19 +53,19 @@
     return new EventSplitter()
   }
 
-  /** Bytes of an event that has not ended yet. */
-  get rest (): Buffer {
-    return this.carried
+  /** Bytes of the event that has not ended yet. */
+  get incompleteEvent (): Buffer {
+    return this.incomplete
   }
 
-  /** Whether an event has grown beyond all measure. */
-  get isOverfull (): boolean {
-    return this.carried.length > MOST_CARRIED_BYTES
+  /** Whether the event that has not ended yet exceeds the maximum size. */
+  get isEventTooLarge (): boolean {
+    return this.incomplete.length > MAX_EVENT_BYTES
   }
 
-  /** The events that end in these bytes. */
+  /** Adds bytes, and returns the events that end in them. */
   push (bytes: Buffer): StreamEvent[] {
-    const joined = this.carried.length === 0 ? bytes : Buffer.concat([this.carried, bytes])
+    const joined = this.incomplete.length === 0 ? bytes : Buffer.concat([this.incomplete, bytes])
     const events: StreamEvent[] = []
     let from = 0
     for (;;) {
@@ -77,7 +77,7 @@
       events.push({ bytes: event, id: readId(event) })
       from = end
     }
-    this.carried = joined.subarray(from)
+    this.incomplete = joined.subarray(from)
     return events
   }
 }
--- a/packages/foxtaillever-router/src/adapters/streamHandler.ts
+++ b/packages/foxtaillever-router/src/adapters/streamHandler.ts
@@ -10,7 +10,7 @@
 import { Attempt, type AnswerHead, type AttemptListener, type AttemptOptions } from 'foxtaillever-relay/attempts/attempt'
 import { meaningOf, type AttemptFailure } from 'foxtaillever-relay/attempts/attemptFailure'
 import { SilenceWatch } from 'foxtaillever-relay/exchange/silenceWatch'
-import { readFields, type EventFields } from 'foxtaillever-relay/streams/eventFields'
+import { readEventFields, type EventFields } from 'foxtaillever-relay/streams/eventFields'
 import { EventSplitter } from 'foxtaillever-relay/streams/eventSplitter'
 import { Either } from 'purify-ts'
 import { engineWire } from './engineWire.js'
@@ -112,7 +112,7 @@
     for (const { bytes: event } of this.splitter.push(bytes)) {
       this.onEvent(event)
     }
-    if (this.splitter.isOverfull) {
+    if (this.splitter.isEventTooLarge) {
       this.attempt.reject('an event without end')
     }
   }
@@ -140,7 +140,7 @@
   }
 
   private onEvent (bytes: Buffer): void {
-    const event = readFields(bytes)
+    const event = readEventFields(bytes)
     if (this.over || !event) {
       return
     }
