--- a/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
@@ -75,8 +75,8 @@
     })
     this.limits = ServerLimits.create({ clock, log, directory: this.directory, protocol: options.limitProtocol, onUrgent: options.onLimitChanged })
     this.statements = ServerStatementHandler.create({ clock, log, directory: this.directory, limits: this.limits, onBackoffRequested: options.onBackoffRequested })
-    const returns = RetrySchedule.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => this.instances })
-    const choice = ServerSelector.create({
+    const retrySchedule = RetrySchedule.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => this.instances })
+    const selector = ServerSelector.create({
       ...options,
       directory: this.directory,
       stores: () => this.caches.available(),
@@ -99,9 +99,9 @@
       onLoadChanged,
       onSaved,
       onUnreachable,
-      queryLoad: (exchange, earlier) => exchange.prompt && queryLoad(() => ({ servers: choice.shortlist(exchange, earlier), level: this.levelAtHome(exchange, choice.homeServerOf(exchange)) })),
-      earliestRetryAt: service => returns.nextRetryAt(service),
-      place: (exchange, earlier, queriedServers) => choice.selectServer(exchange, earlier, queriedServers),
+      queryLoad: (exchange, earlier) => exchange.prompt && queryLoad(() => ({ servers: selector.shortlist(exchange, earlier), level: this.levelAtHome(exchange, selector.homeServerOf(exchange)) })),
+      earliestRetryAt: service => retrySchedule.nextRetryAt(service),
+      place: (exchange, earlier, queriedServers) => selector.selectServer(exchange, earlier, queriedServers),
       onMisdirected
     })
   }
--- a/packages/foxtaillever-relay/src/knowledge/storeReplica.ts
+++ b/packages/foxtaillever-relay/src/knowledge/storeReplica.ts
@@ -115,15 +115,15 @@
   }
 
   /** Handles the notice of another instance that has read the store. */
-  handleNotice ({ address, isFresh, isWatching, positions, newRecords: news }: ReadNotice): void {
+  handleNotice ({ address, isFresh, isWatching, positions, newRecords: update }: ReadNotice): void {
     const now = this.options.clock.now()
     this.freshness.recordWatch(address, isWatching, now)
     if (isFresh) {
       // First, because whether a removal is deferred depends on when the store recovered.
       this.freshness.recordStoreAnswer(now, this.servers.follower.isFailing)
     }
-    if (news) {
-      this.applyUpdate(news.topic, { ...news, position: positions[news.topic].position, keys: undefined })
+    if (update) {
+      this.applyUpdate(update.topic, { ...update, position: positions[update.topic].position, keys: undefined })
     }
     this.advanceEra(Math.max(...topics.map(topic => eraOf(positions[topic].position))))
     topics.forEach(topic => this.handlePeerPosition(topic, positions[topic], address, isFresh ? now : -Infinity))
@@ -205,14 +205,14 @@
     }
   }
 
-  private notifyPeers (news: ReadNotice['newRecords']): void {
+  private notifyPeers (update: ReadNotice['newRecords']): void {
     const { clock, notify } = this.options
     const { operators, servers } = this.followed
     notify({
       isFresh: !servers.follower.isFailing && this.freshness.freshAt + FRESH_TOLERANCE_MS > clock.now(),
       isWatching: this.hasStore && operators.follower.isAnswered && this.plans.isWatching,
       positions: { [AnnouncedTopic.Operators]: positionOf(operators), [AnnouncedTopic.Servers]: positionOf(servers) },
-      newRecords: news
+      newRecords: update
     })
   }
 
--- a/packages/foxtaillever-relay/src/peers/heartbeatContents.ts
+++ b/packages/foxtaillever-relay/src/peers/heartbeatContents.ts
@@ -52,9 +52,9 @@
   current.forEach(update => orders.rollout.applyCurrentEngines(update))
 }
 
-export function applyWeightsNotice ({ lease: own, rollout: desk }: OrderCoordinator, { updates, lease }: WeightsNotice): void {
+export function applyWeightsNotice ({ lease: own, rollout: weightsRollout }: OrderCoordinator, { updates, lease }: WeightsNotice): void {
   if (lease) {
     own.applySnapshot(lease)
   }
-  updates.forEach(update => desk.applyUpdate(update))
+  updates.forEach(update => weightsRollout.applyUpdate(update))
 }
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -1,4 +1,4 @@
-/** One instance of the relay: callers on one side, backend servers on the other, the platform's store above. */
+/** One instance of the relay. Takes requests from callers, sends them to backend servers, and follows the platform's store. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { waitUntil } from 'foxtaillever-core'
 import { CallerServer } from './callers/callerServer.js'
@@ -24,35 +24,36 @@
 import { RelayState } from './telemetry/relayState.js'
 import { createOrderCoordinator, type OrderCoordinator } from './weights/orderCoordinator.js'
 
-/** The balancer notices within two seconds that this instance is not ready; until then it sends new connections, milliseconds. */
+/** How long a shutdown still accepts connections, milliseconds: the load balancer notices within two seconds that the instance is not ready. */
 const STOP_LISTENING_MS = 2600
 
 /**
- * A server in the same region accepts a connection within some milliseconds,
- * and this one's own work may hold up the news of it for as long again; one
- * that does not is cut off or gone, and another may yet answer in time.
+ * A backend server in the same region accepts a connection within some
+ * milliseconds, and a busy event loop here may notice it as much later. A
+ * server that takes longer is unreachable or gone, and there is still time for
+ * an attempt at another server.
  */
 const CONNECT_TIMEOUT_MS = 200
 
-/** How often a shutdown looks whether the last answer is out, milliseconds. */
-const SHUTDOWN_LOOK_MS = 50
+/** How often a shutdown checks whether the last answer is sent, milliseconds. */
+const SHUTDOWN_POLL_MS = 50
 
-/** Part of the grace that is kept free for the process to end: a quarter of a second of eight, ten times what it takes. */
-const GRACE_KEPT_FREE = 0.03
+/** Share of the grace period that is reserved for the process to end: a quarter of a second of eight, ten times what it takes. */
+const GRACE_RESERVE_SHARE = 0.03
 
 export class Relay {
   private readonly log: RelayLog
   private readonly state: RelayState
-  private readonly figures: MetricsServer
-  private readonly desk: ExchangeDispatcher
+  private readonly metricsServer: MetricsServer
+  private readonly dispatcher: ExchangeDispatcher
   private readonly suspects = CrashSuspects.create()
   private readonly callers: CallerServer
   private readonly readiness: ReadinessServer
-  private readonly knowledge: StoreReplica
-  private readonly memberBook: MemberRegistry
+  private readonly storeReplica: StoreReplica
+  private readonly memberRegistry: MemberRegistry
   private readonly peers: Peers
   private readonly limits: LimitProtocols
-  private readonly office: OrderCoordinator
+  private readonly orderCoordinator: OrderCoordinator
   private readonly startCheck = StartCheck.create()
   private table: RouteTable | undefined
   private isLeaving = false
@@ -62,22 +63,22 @@
     const { clock, random, logs, callerWire } = options
     this.log = RelayLog.create(logs, service => this.state.summarize(service))
     this.graceMs = options.graceMs
-    this.desk = this.createDesk()
+    this.dispatcher = this.createDispatcher()
     this.state = this.createState()
     this.state.registerGauges(this.log.metrics)
-    this.figures = MetricsServer.create({ render: () => this.log.metrics.render(), dump: () => this.dump() })
+    this.metricsServer = MetricsServer.create({ render: () => this.log.metrics.render(), dump: () => this.dump() })
     this.peers = this.createPeers()
     this.limits = createLimitProtocols({ clock, quotaTolerance: options.quotaTolerance, peers: this.peers, log: this.log })
-    this.knowledge = this.createKnowledge()
-    this.memberBook = this.createMemberBook()
-    this.office = this.createOffice()
+    this.storeReplica = this.createReplica()
+    this.memberRegistry = this.createMemberRegistry()
+    this.orderCoordinator = this.createCoordinator()
     this.callers = CallerServer.create({
       clock,
       random,
       wire: callerWire,
       log: this.log,
       table: () => this.usableTable(),
-      onExchange: (exchange, answer) => this.desk.runs.start(exchange, answer)
+      onExchange: (exchange, answer) => this.dispatcher.runs.start(exchange, answer)
     })
     this.readiness = ReadinessServer.create(() => this.isReady())
   }
@@ -91,56 +92,56 @@
     this.log.belief('Starting.', { pid: process.pid })
     await this.peers.start()
     this.peers.addAddresses(seeds)
-    this.knowledge.start()
-    this.desk.caches.monitor.start()
-    this.note(this.memberBook.register())
+    this.storeReplica.start()
+    this.dispatcher.caches.monitor.start()
+    this.runInBackground(this.memberRegistry.register())
     await this.callers.listen(callers.host, callers.port)
     await this.readiness.listen(readiness.host, readiness.port)
     if (metrics) {
-      this.figures.listen(metrics, reason => this.log.trouble('The address for metrics cannot be used.', { reason }))
+      this.metricsServer.listen(metrics, reason => this.log.trouble('The address for metrics cannot be used.', { reason }))
     }
     this.log.belief('Started.', {})
   }
 
-  /** Takes over settings that were changed while it runs. */
-  apply ({ seeds, retryAllowance, graceMs }: RunningSettings): void {
+  /** Applies settings that changed while the instance runs. */
+  applySettings ({ seeds, retryAllowance, graceMs }: RunningSettings): void {
     this.graceMs = graceMs
-    this.desk.retries.setAllowance(retryAllowance)
+    this.dispatcher.retries.setAllowance(retryAllowance)
     this.peers.addAddresses(seeds)
   }
 
-  /** Leaves: not ready at once, serving until the balancer has noticed and the last answer is out. */
+  /** Shuts down gracefully: not ready at once, but serving until the load balancer has noticed and the last answer is sent. */
   async stop (): Promise<void> {
     const { clock } = this.options
     if (this.isLeaving) {
       return
     }
     this.isLeaving = true
-    const until = clock.now() + this.graceMs * (1 - GRACE_KEPT_FREE)
-    this.log.belief('Leaving.', { requests: this.desk.runs.size })
+    const until = clock.now() + this.graceMs * (1 - GRACE_RESERVE_SHARE)
+    this.log.belief('Leaving.', { requests: this.dispatcher.runs.size })
     this.callers.endKeepAlive()
     this.peers.sendHeartbeat()
     await waitUntil(clock, clock.now() + STOP_LISTENING_MS)
     this.callers.close()
-    while (this.desk.runs.size > 0 && clock.now() < until) {
-      await waitUntil(clock, clock.now() + SHUTDOWN_LOOK_MS)
+    while (this.dispatcher.runs.size > 0 && clock.now() < until) {
+      await waitUntil(clock, clock.now() + SHUTDOWN_POLL_MS)
     }
-    this.desk.runs.abort()
-    this.office.rollout.stop()
-    this.desk.caches.monitor.stop()
-    this.knowledge.stop()
+    this.dispatcher.runs.abort()
+    this.orderCoordinator.rollout.stop()
+    this.dispatcher.caches.monitor.stop()
+    this.storeReplica.stop()
     this.readiness.close()
-    this.figures.close()
+    this.metricsServer.close()
     await this.peers.stop()
     this.log.belief('Stopped.', {})
   }
 
-  /** What this instance believes now, for an operator. */
+  /** The state that this instance knows, for an operator. */
   dump (): object {
     return this.state.dump()
   }
 
-  private createDesk (): ExchangeDispatcher {
+  private createDispatcher (): ExchangeDispatcher {
     const { clock, random, failureDomain, serverWire, cacheStoreCalls, retryAllowance, weightsBoundMs } = this.options
     return ExchangeDispatcher.create({
       clock,
@@ -162,23 +163,23 @@
       onUnreachable: ({ hash }) => this.peers.loadProtocol.reportUnreachable(hash),
       onBackoffRequested: ({ hash }) => this.peers.loadProtocol.reportBackingOff(hash),
       announceNow: () => this.peers.sendHeartbeat(),
-      queryLoad: wish => this.peers.loadProtocol.query(wish()),
+      queryLoad: createQuery => this.peers.loadProtocol.query(createQuery()),
       onSaved: level => this.peers.loadProtocol.reportSaved(level),
       limitProtocol: () => this.limits[LimitScope.Server],
       onLimitChanged: () => this.peers.sendSoon(),
       onStoreRestarted: () => this.peers.loadProtocol.forgetSaved(),
-      weights: { outdatedSince: (model, version) => this.office.rollout.outdatedSince(model, version) },
+      weights: { outdatedSince: (model, version) => this.orderCoordinator.rollout.outdatedSince(model, version) },
       routing: () => this.table?.routing,
-      onServerChanged: () => this.office.rollout.ensureRunning(),
+      onServerChanged: () => this.orderCoordinator.rollout.ensureRunning(),
       onMisdirected: ({ server, serverId, expectedWeights }, { prompt }, failure) =>
-        this.office.rollout.handleRefusal(server, prompt?.model, failure.serverId === serverId ? expectedWeights : undefined)
+        this.orderCoordinator.rollout.handleRefusal(server, prompt?.model, failure.serverId === serverId ? expectedWeights : undefined)
     })
   }
 
   private createState (): RelayState {
     const { name, clock } = this.options
-    const { directory, runs } = this.desk
-    const parts = { routing: () => this.table?.routing, peers: () => this.peers, knowledge: () => this.knowledge, lease: () => this.office.lease }
+    const { directory, runs } = this.dispatcher
+    const parts = { routing: () => this.table?.routing, peers: () => this.peers, knowledge: () => this.storeReplica, lease: () => this.orderCoordinator.lease }
     return RelayState.create({ name, clock, directory, ...parts, open: () => runs.size, isReady: () => this.isReady() })
   }
 
@@ -190,44 +191,44 @@
       name,
       failureDomain,
       ...peers,
-      ownReport: () => createOwnReport(this.beatParts()),
-      lease: () => this.office.lease.snapshot(),
-      recordsFrom: (topic, from) => this.knowledge.updateSince(topic, from),
-      onMessage: message => applyPeerMessage(this.beatParts(), message),
-      ownUses: () => ownUses(this.desk.directory.all()),
-      isQueried: server => (this.desk.directory.getByHash(server)?.weights.size ?? 0) > 0,
-      onSaved: levels => this.desk.caches.savedLevels.hear(levels, clock.now()),
-      onUnreachable: hash => this.desk.recordUnreachable(hash),
-      onBackingOff: hash => this.desk.recordBackoff(hash),
+      ownReport: () => createOwnReport(this.heartbeatParts()),
+      lease: () => this.orderCoordinator.lease.snapshot(),
+      recordsFrom: (topic, from) => this.storeReplica.updateSince(topic, from),
+      onMessage: message => applyPeerMessage(this.heartbeatParts(), message),
+      ownUses: () => ownUses(this.dispatcher.directory.all()),
+      isQueried: server => (this.dispatcher.directory.getByHash(server)?.weights.size ?? 0) > 0,
+      onSaved: levels => this.dispatcher.caches.savedLevels.hear(levels, clock.now()),
+      onUnreachable: hash => this.dispatcher.recordUnreachable(hash),
+      onBackingOff: hash => this.dispatcher.recordBackoff(hash),
       onUnresponsive: peer => this.log.belief('An instance does not answer questions of load; its second is asked.', { peer }),
-      onNotice: notice => this.knowledge.handleNotice(notice),
-      onWeights: notice => applyWeightsNotice(this.office, notice),
-      onLeaseCall: (request, search, response) => this.lendLease(request, search, response),
+      onNotice: notice => this.storeReplica.handleNotice(notice),
+      onWeights: notice => applyWeightsNotice(this.orderCoordinator, notice),
+      onLeaseCall: (request, search, response) => this.proxyLeaseCall(request, search, response),
       onLimit: message => this.limits[message.scope].receive(message),
       isLeaving: () => this.isLeaving,
       processStartedAt: clock.now() - process.uptime() * 1000
     })
   }
 
-  private createKnowledge (): StoreReplica {
+  private createReplica (): StoreReplica {
     return createStoreReplica({
       ...this.options,
       relayLog: this.log,
-      directory: this.desk.directory,
+      directory: this.dispatcher.directory,
       peers: this.peers,
       revision: () => this.revision,
-      onRouting: routing => this.adopt(routing),
-      onWeights: (model, version, isStart) => this.office.rollout.addVersion(model, version, isStart),
-      onRestored: () => this.note(this.memberBook.registerAgain())
+      onRouting: routing => this.applyRouting(routing),
+      onWeights: (model, version, isStart) => this.orderCoordinator.rollout.addVersion(model, version, isStart),
+      onRestored: () => this.runInBackground(this.memberRegistry.registerAgain())
     })
   }
 
-  /** Work beside the requests that failed for a reason that nobody foresaw. */
-  private note (work: Promise<void>): void {
+  /** Runs work that no request waits for; an unexpected failure is logged. */
+  private runInBackground (work: Promise<void>): void {
     work.catch((error: unknown) => this.log.trouble('Work in the background failed.', { reason: String(error) }))
   }
 
-  private createMemberBook (): MemberRegistry {
+  private createMemberRegistry (): MemberRegistry {
     const { clock, random, log, topics, name } = this.options
     return MemberRegistry.create({
       clock,
@@ -236,26 +237,26 @@
       topic: topics.members,
       name,
       address: this.peers.address,
-      onFirstIncarnation: () => this.desk.retries.observeFirstLife(),
-      onAddresses: addresses => this.meet(addresses),
+      onFirstIncarnation: () => this.dispatcher.retries.observeFirstLife(),
+      onAddresses: addresses => this.addAddresses(addresses),
       isLeaving: () => this.isLeaving
     })
   }
 
-  private createOffice (): OrderCoordinator {
-    const { log, peers, desk: { directory } } = this
+  private createCoordinator (): OrderCoordinator {
+    const { log, peers, dispatcher: { directory } } = this
     return createOrderCoordinator({
       ...this.options,
       topic: this.options.topics.lease,
       directory,
       peers,
       log,
-      isEligible: () => this.knowledge.hasStore && !this.isLeaving,
-      onStoreFailed: () => this.knowledge.checkStore()
+      isEligible: () => this.storeReplica.hasStore && !this.isLeaving,
+      onStoreFailed: () => this.storeReplica.checkStore()
     })
   }
 
-  private lendLease (request: IncomingMessage, search: URLSearchParams, response: ServerResponse): void {
+  private proxyLeaseCall (request: IncomingMessage, search: URLSearchParams, response: ServerResponse): void {
     const { fenceLog, topics } = this.options
     answerLeaseCall(fenceLog, topics.lease, request, search, response).catch((error: unknown) => {
       this.log.trouble('A call at the lease for another instance failed.', { reason: String(error) })
@@ -263,37 +264,37 @@
     })
   }
 
-  private beatParts (): HeartbeatParts {
-    const { options: { clock }, desk, suspects, peers, knowledge, office, isLeaving, revision } = this
-    return { clock, exchanges: desk, suspects, peers, knowledge, orders: office, isLeaving, revision }
+  private heartbeatParts (): HeartbeatParts {
+    const { options: { clock }, dispatcher, suspects, peers, storeReplica, orderCoordinator, isLeaving, revision } = this
+    return { clock, exchanges: dispatcher, suspects, peers, knowledge: storeReplica, orders: orderCoordinator, isLeaving, revision }
   }
 
-  /** The store names all that ever entered. */
-  private meet (addresses: readonly string[]): void {
+  /** Adds the addresses of all instances that ever registered in the store. */
+  private addAddresses (addresses: readonly string[]): void {
     this.peers.addAddresses(addresses)
-    this.desk.setInstanceCount(this.peers.count())
+    this.dispatcher.setInstanceCount(this.peers.count())
   }
 
   private isReady (): boolean {
-    return !this.isLeaving && this.knowledge.isComplete && this.usableTable() !== undefined
+    return !this.isLeaving && this.storeReplica.isComplete && this.usableTable() !== undefined
   }
 
   private get revision (): number {
     return this.table?.routing.revision ?? -1
   }
 
-  /** Callers are not answered by a configuration that others know to be replaced. */
+  /** The route table; undefined while its configuration may be older than the one that other instances have. */
   private usableTable (): RouteTable | undefined {
-    const beliefs = { now: this.options.clock.now(), revision: this.revision, era: this.knowledge.storeEra, peerRevisions: () => this.peers.alive().map(({ revision }) => revision) }
-    return this.table && this.startCheck.isPassed(beliefs) ? this.table : undefined
+    const state = { now: this.options.clock.now(), revision: this.revision, era: this.storeReplica.storeEra, peerRevisions: () => this.peers.alive().map(({ revision }) => revision) }
+    return this.table && this.startCheck.isPassed(state) ? this.table : undefined
   }
 
-  private adopt (routing: Routing): void {
+  private applyRouting (routing: Routing): void {
     const before = this.revision
     this.table = RouteTable.create(routing)
-    this.desk.directory.configure(routing)
+    this.dispatcher.directory.configure(routing)
     this.callers.setLimits(routing.limits)
-    this.office.rollout.ensureRunning()
+    this.orderCoordinator.rollout.ensureRunning()
     this.log.belief('A configuration is in force.', { revision: routing.revision, before, routes: routing.routes.length })
   }
 }
--- a/packages/foxtaillever-relay/src/relayOptions.ts
+++ b/packages/foxtaillever-relay/src/relayOptions.ts
@@ -1,4 +1,4 @@
-/** What an instance of the relay is made of. */
+/** Options of one instance of the relay. */
 import type { Clock, Random } from 'foxtaillever-core'
 import type { LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
 import type { RetryAllowance } from 'foxtaillever-policy/relay/retryShare'
@@ -18,16 +18,16 @@
   readonly port: number
 }
 
-/** Turns records of the store into what the core knows; Left says what is wrong with one. */
+/** Parsers for records of the platform's store; Left says what is wrong with a record. */
 export interface RecordReaders {
   readonly routing: (value: Buffer) => Either<string, Routing>
   readonly server: (id: string, value: Buffer) => Either<string, ListedServer>
   readonly weights: (value: Buffer) => Either<string, WantedWeights>
-  /** What a key of the operators' topic names. */
+  /** What the key of a record in the operators' topic refers to. */
   readonly kindOfKey: (record: KeyedRecord) => OperatorKey
 }
 
-/** What operators write. */
+/** Kinds of records that operators write. */
 export enum OperatorKey {
   Routing = 'routing',
   Weights = 'weights',
@@ -38,7 +38,7 @@
 export interface Topics {
   readonly operators: string
   readonly servers: string
-  /** Addresses of instances, for those that start. */
+  /** Addresses of instances, read by instances that start. */
   readonly members: string
   /** The lease on giving orders. */
   readonly lease: string
@@ -49,18 +49,18 @@
   /** Addresses of some instances, which may be stale. */
   readonly seeds: readonly string[]
   readonly retryAllowance: RetryAllowance
-  /** After this a shutdown ends what is left, milliseconds. */
+  /** Grace period after which a shutdown aborts the remaining requests, milliseconds. */
   readonly graceMs: number
 }
 
 export interface RelayOptions extends RunningSettings {
-  /** By how much quotas may be missed while instances cannot agree. */
+  /** By how much quotas may be exceeded while instances cannot agree. */
   readonly quotaTolerance: LimitTolerance
   readonly name: string
   readonly failureDomain: string
   readonly callers: ListenAddress
   readonly readiness: ListenAddress
-  /** Where figures are told; undefined for nowhere. */
+  /** Address of the metrics endpoint; undefined for none. */
   readonly metrics?: ListenAddress
   /** For datagrams and calls between instances; the port is the same for all. */
   readonly peers: ListenAddress
@@ -75,8 +75,8 @@
   readonly readers: RecordReaders
   readonly callerWire: CallerWire
   readonly serverWire: ServerWire
-  /** Between the orders of two holders of the lease, milliseconds. */
+  /** Minimum pause between the orders of two successive holders of the lease, milliseconds. */
   readonly leasePauseMs: number
-  /** After new weights were named no request may begin on older ones, milliseconds. */
+  /** Time after the announcement of new weights from which no request may begin on older weights, milliseconds. */
   readonly weightsBoundMs: number
 }
--- a/packages/foxtaillever-relay/src/servers/__tests__/serverSelector.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/serverSelector.test.ts
@@ -19,8 +19,8 @@
     engine.outstanding = outstanding
   }
   const weights = { outdatedSince: () => clock.now() - outdatedMs }
-  const choice = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad: FleetLoad.create(clock), estimateLevelFetch: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 0 }), stores: () => [], weights, weightsBoundMs: BOUND_MS })
-  return choice.selectServer(exchangeAt(clock.now()), { failed: new Set(), wasMisdirected: false }) !== undefined
+  const selector = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad: FleetLoad.create(clock), estimateLevelFetch: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 0 }), stores: () => [], weights, weightsBoundMs: BOUND_MS })
+  return selector.selectServer(exchangeAt(clock.now()), { failed: new Set(), wasMisdirected: false }) !== undefined
 }
 
 /** The engine chosen among twenty: the queried ones have the given numbers of tokens to process, and nothing is known of the others. */
@@ -39,9 +39,9 @@
       engine.peerBackoffUntil = backingOff.includes(id) ? Infinity : 0
     }
   }
-  const choice = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad, estimateLevelFetch: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 9190 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
+  const selector = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad, estimateLevelFetch: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 9190 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
   const hashes = new Set([...queried.keys()].flatMap(id => directory.get(id)?.hash ?? []))
-  return choice.selectServer(exchangeAt(clock.now(), { service: 'engines', prompt: { model: 'model', levels: [{ id: 'root', tokens: 6300 }, { id: 'own', tokens: 2890 }], promptTokens: 9190, outputTokens: 10 } }), { failed: new Set(), wasMisdirected: false }, hashes)?.listed.id
+  return selector.selectServer(exchangeAt(clock.now(), { service: 'engines', prompt: { model: 'model', levels: [{ id: 'root', tokens: 6300 }, { id: 'own', tokens: 2890 }], promptTokens: 9190, outputTokens: 10 } }), { failed: new Set(), wasMisdirected: false }, hashes)?.listed.id
 }
 
 describe('ServerSelector with many servers', () => {
@@ -71,10 +71,10 @@
     for (let index = 0; index < 20; index += 1) {
       directory.applyEntry({ id: `e${index}`, startedAt: 0, service: 'engines', address: `127.0.0.1:${index + 1}`, failureDomain: 'a', slots: 16, state: ServerState.Ready, coldLeftMs: 0, weights: new Map([['model', 1]]) }, index)
     }
-    const choice = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad: FleetLoad.create(clock), estimateLevelFetch: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 628 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
+    const selector = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad: FleetLoad.create(clock), estimateLevelFetch: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 628 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
     for (let run = 0; run < 64; run += 1) {
       const prompt = { model: 'model', levels: [{ id: `subject-${run}`, tokens: 198 }, { id: `own-${run}`, tokens: 628 }], promptTokens: 826, outputTokens: 500 }
-      const engine = choice.selectServer(exchangeAt(clock.now(), { service: 'engines', prompt }), { failed: new Set(), wasMisdirected: false })
+      const engine = selector.selectServer(exchangeAt(clock.now(), { service: 'engines', prompt }), { failed: new Set(), wasMisdirected: false })
       if (engine) {
         engine.outstanding += 1
       }
