--- a/packages/foxtaillever-relay/src/__fixtures__/exchanges.ts
+++ b/packages/foxtaillever-relay/src/__fixtures__/createExchange.ts
@@ -1,9 +1,9 @@
-/** Requests as the core handles them, without a wire. */
+/** Creates requests as the core handles them, without HTTP. */
 import type { Exchange } from '../model/exchange.js'
 import { Repeatability } from '../model/routing.js'
 
-/** A request for an engine, read at the time. */
-export function exchangeAt (now: number, given: Partial<Exchange> = {}): Exchange {
+/** A request for an engine that arrives at the given time. */
+export function createExchange (now: number, overrides: Partial<Exchange> = {}): Exchange {
   return {
     id: 'request',
     method: 'POST',
@@ -23,6 +23,6 @@
     arrivedAt: now,
     callerDeadline: now + 5000,
     deadline: now + 5000,
-    ...given
+    ...overrides
   }
 }
--- a/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
+++ b/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
@@ -1,4 +1,4 @@
-/** The request side of the relay between real sockets: one caller's connection, scripted backend servers, time moved by hand. */
+/** The request path of the relay on real sockets, with scripted backend servers and a virtual clock. */
 import { connect, type Socket } from 'node:net'
 import { PassThrough } from 'node:stream'
 import { SeededRandom } from 'foxtaillever-core'
@@ -84,13 +84,13 @@
 
   readonly retries = RetryShare.create({ ratio: 0.2, slack: 1000, windowMs: 10_000 }, 0)
   readonly servers: ScriptedServer[] = []
-  /** Servers of which the watchers were told that they take no connection. */
+  /** Servers that were reported to their watchers as unreachable. */
   readonly unreachable: string[] = []
-  /** Runs when a try was begun or is over. */
+  /** Called when an attempt begins or ends. */
   onLoadChanged = (): void => {}
-  /** Decides on what the caller's account may use. */
+  /** Decides on requests under the quotas of client accounts. */
   quota = noQuotas
-  /** Decides on what servers state that they take. */
+  /** Decides on requests under the limits that servers stated. */
   limitProtocol = noSharedLimits
   private readonly callers: CallerServer
   readonly limits: ServerLimits
@@ -106,7 +106,7 @@
     const log = RelayLog.create(Logs.create({ instance: 'i', level: 'silent', clock, destination: new PassThrough() }))
     this.limits = ServerLimits.create({ clock, log, directory: this.directory, protocol: () => this.limitProtocol, onUrgent: () => {} })
     this.statements = ServerStatementHandler.create({ clock, log, directory: this.directory, limits: this.limits, onBackoffRequested: () => {} })
-    const returns = RetrySchedule.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => 1 })
+    const retrySchedule = RetrySchedule.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => 1 })
     const context: ExchangeContext = {
       clock,
       connectTimeoutMs: 200,
@@ -129,7 +129,7 @@
       onUnreachable: ({ listed }) => { this.unreachable.push(listed.id) },
       queryLoad: () => undefined,
       place: (_, { failed }) => this.directory.ready('s').find(server => !failed.has(server.listed.id) && availableFrom(server) <= clock.now()),
-      earliestRetryAt: service => returns.nextRetryAt(service),
+      earliestRetryAt: service => retrySchedule.nextRetryAt(service),
       onMisdirected: () => {}
     }
     this.retries.observeInstances(1)
@@ -141,7 +141,7 @@
     this.callers.setLimits(limits)
   }
 
-  /** Servers are tried in the order of their answers. */
+  /** Starts a server for each answer; requests are sent to the servers in this order. */
   static async start (route: Partial<Route>, ...answers: Answer[]): Promise<RelayRig> {
     const rig = new RelayRig({ ...plainRoute, ...route })
     for (const answer of answers) {
@@ -166,8 +166,8 @@
     return connect(this.port, '127.0.0.1').on('error', () => {})
   }
 
-  /** Sends one request on a connection of its own and returns all bytes until its end. */
-  async ask (id: string, body = ''): Promise<string> {
+  /** Sends one request on its own connection and returns all bytes received until the connection ends. */
+  async sendRequest (id: string, body = ''): Promise<string> {
     const socket = this.connect()
     socket.write(`POST /p HTTP/1.1\r\nhost: h\r\nrequest-id: ${id}\r\nconnection: close\r\ncontent-length: ${body.length}\r\n\r\n${body}`)
     return await readAll(socket)
@@ -179,7 +179,7 @@
   }
 }
 
-/** All bytes until the connection's end. */
+/** All bytes received until the connection ends. */
 export async function readAll (socket: Socket): Promise<string> {
   let text = ''
   socket.on('data', bytes => { text += bytes.toString('latin1') })
--- a/packages/foxtaillever-relay/src/__fixtures__/scriptedServer.ts
+++ b/packages/foxtaillever-relay/src/__fixtures__/scriptedServer.ts
@@ -1,4 +1,4 @@
-/** A backend server on loopback that answers each request, byte for byte, as a test says. */
+/** A backend server on loopback whose answers a test writes byte by byte. */
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 
 /** A request as it arrived. */
@@ -6,7 +6,7 @@
   readonly id: string
   readonly head: string
   readonly body: string
-  /** Number of the connection, from 0 on. */
+  /** Index of the connection, from 0. */
   readonly connection: number
   readonly socket: Socket
 }
@@ -38,7 +38,7 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Waits until so many requests have arrived. */
+  /** Waits until this number of requests has arrived. */
   async arrived (count: number): Promise<void> {
     while (this.arrivals.length < count) {
       await new Promise<void>(resolve => this.waiting.push(resolve))
@@ -82,12 +82,12 @@
   }
 }
 
-/** A whole answer with the server's stamp. */
+/** A complete answer with the server's stamp. */
 export function wholeAnswer ({ id }: Arrival, body: string, status = '200 OK', ...headers: string[]): string {
   return [`HTTP/1.1 ${status}`, `request-id: ${id}`, 'stamp: s', `content-length: ${body.length}`, ...headers, '', body].join('\r\n')
 }
 
-/** The head of a stream of events; framed ones go on in chunks. */
+/** The head of a stream of events; a framed stream continues in chunks. */
 export function streamHead ({ id }: Arrival, isFramed = true): string {
   return ['HTTP/1.1 200 OK', `request-id: ${id}`, 'stamp: s', 'content-type: text/event-stream', isFramed ? 'transfer-encoding: chunked' : 'connection: close', '', ''].join('\r\n')
 }
--- a/packages/foxtaillever-relay/src/__tests__/callers.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/callers.test.ts
@@ -1,4 +1,4 @@
-/** Callers on their connections: bodies, leaving, reading slowly, several requests on one connection. */
+/** Connections of callers: request bodies, disconnects, slow readers, several requests on one connection. */
 import type { Socket } from 'node:net'
 import { describe, it } from 'foxtaillever-testing'
 import { Repeatability } from '../model/routing.js'
@@ -11,7 +11,7 @@
   return ['POST /p HTTP/1.1', 'host: h', `request-id: ${id}`, ...lines, '', ''].join('\r\n')
 }
 
-/** Bytes until a text is among them. */
+/** Reads until the bytes contain a text. */
 async function readUntil (socket: Socket, text: string): Promise<string> {
   let all = ''
   while (!all.includes(text)) {
@@ -21,7 +21,7 @@
 }
 
 describe('bodies', () => {
-  it('come whole to the server, however they were sent', async t => {
+  it('reach the server complete, however they were sent', async t => {
     const rig = await RelayRig.start({}, echo)
     const socket = rig.connect()
     socket.write(`${head('a', 'transfer-encoding: chunked')}${chunk('one ')}`)
@@ -34,8 +34,8 @@
     rig.stop()
   })
 
-  // A caller sends without end. Held, its body would fill the memory of all.
-  it('beyond the limit are refused before they are in, and reach no server', async t => {
+  // A caller sends an endless body. Buffered, it would exhaust the memory of the process.
+  it('beyond the limit are refused before they are complete, and reach no server', async t => {
     const rig = await RelayRig.start({}, echo)
     const announced = rig.connect()
     announced.write(head('a', 'content-length: 100001'))
@@ -47,9 +47,9 @@
     rig.stop()
   })
 
-  // A body dribbles in until its caller has stopped waiting. Sent on, the
-  // request would keep a server busy for nobody.
-  it('that come in after the deadline are not sent on', async t => {
+  // A body arrives slowly, and its caller has stopped waiting before it is
+  // complete. Sent on, the request would occupy a server in vain.
+  it('that are complete after the deadline are not sent on', async t => {
     const rig = await RelayRig.start({}, echo)
     const socket = rig.connect()
     socket.write(`${head('a', 'content-length: 5', 'expect: 100-continue', 'connection: close')}`)
@@ -62,10 +62,10 @@
   })
 })
 
-describe('callers that leave', () => {
-  // A caller gives up and closes its connection. Until the server hears of it,
-  // it works for nobody while others wait.
-  it('take their request with them, at once', async t => {
+describe('callers that disconnect', () => {
+  // A caller closes its connection before the answer. Until the server is
+  // notified, it works in vain while other requests wait.
+  it('cancel their request at once', async t => {
     for (const leave of [(socket: Socket) => socket.destroy(), (socket: Socket) => socket.end()]) {
       const rig = await RelayRig.start({ repeatability: Repeatability.Idempotent }, () => {}, () => {})
       const socket = rig.connect()
@@ -79,7 +79,7 @@
     }
   })
 
-  it('in the middle of a stream end it at the server', async t => {
+  it('in the middle of a stream cancel it at the server', async t => {
     const rig = await RelayRig.start({ isStream: true, isResumable: true }, arrival => arrival.socket.write(streamHead(arrival) + chunk('id: 1\n\n')), () => {})
     const socket = rig.connect()
     socket.write(head('a', 'content-length: 0'))
@@ -90,32 +90,32 @@
     rig.stop()
   })
 
-  it('while they send reach no server', async t => {
+  it('while they send cause no attempt at a server', async t => {
     const rig = await RelayRig.start({}, echo)
     const socket = rig.connect()
     socket.write(`${head('a', 'content-length: 5', 'expect: 100-continue')}`)
     await readUntil(socket, '100 Continue')
     socket.write('th')
     socket.destroy()
-    t.regex(await rig.ask('b', 'next'), /got next$/)
+    t.regex(await rig.sendRequest('b', 'next'), /got next$/)
     t.is(rig.arrivals, 1)
     rig.stop()
   })
 })
 
 describe('a shutdown', () => {
-  // Requests that are refused at once are over before they are counted. Counted
-  // all the same, they would hold up each shutdown until its grace is over.
+  // Requests that are refused at once end before they are counted. If they were
+  // counted nevertheless, each shutdown would wait until its grace period ends.
   it('does not wait for requests that were refused', async t => {
     const rig = await RelayRig.start({})
-    t.regex(await rig.ask('a'), /^HTTP\/1.1 503 /)
+    t.regex(await rig.sendRequest('a'), /^HTTP\/1.1 503 /)
     t.is(rig.runs.size, 0)
     rig.stop()
   })
 
-  it('waits for those on their way', async t => {
+  it('waits for requests in flight', async t => {
     const rig = await RelayRig.start({}, () => {})
-    const answer = rig.ask('a')
+    const answer = rig.sendRequest('a')
     await rig.servers[0]?.arrived(1)
     t.is(rig.runs.size, 1)
     rig.runs.abort()
@@ -142,9 +142,9 @@
     rig.stop()
   })
 
-  // A caller reads slowly, or not at all. What its server writes meanwhile has
-  // to wait there; held here, it would fill the memory of all.
-  it('that are not read hold the server back', async t => {
+  // A caller reads slowly or not at all. The server must be slowed down
+  // meanwhile; buffered here, its answer would exhaust the memory of the process.
+  it('that are not read apply backpressure to the server', async t => {
     const megabyte = 'x'.repeat(1024 * 1024)
     const many = 32
     const rig = await RelayRig.start({}, arrival => {
@@ -159,7 +159,7 @@
     await rig.servers[0]?.arrived(1)
     const server = rig.servers[0]?.sockets[0] as Socket
     let before = -1
-    // Until nothing moves any more.
+    // Until the server can write no more.
     while (before !== server.writableLength) {
       before = server.writableLength
       await new Promise<void>(resolve => setTimeout(resolve, 50))
--- a/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/unreachable.test.ts
@@ -1,7 +1,7 @@
 /**
- * A backend server takes no connection any more. Its list entry stays for seconds,
- * and each of many instances would send callers there until it has found out by
- * one of its own.
+ * A backend server accepts no connections any more. Its entry in the store stays
+ * for seconds, and until one of its own requests has failed, each of many
+ * instances would send requests there.
  */
 import { PassThrough } from 'node:stream'
 import { SeededRandom } from 'foxtaillever-core'
@@ -22,8 +22,8 @@
   socket.write(`HTTP/1.1 200 OK\r\nrequest-id: ${id}\r\nstamp: s\r\ncontent-length: 2\r\n\r\nok`)
 }
 
-function createDesk (clock: VirtualClock, told: string[]): ExchangeDispatcher {
-  const destination = new PassThrough().on('data', line => { told.push(String(line)) })
+function createDispatcher (clock: VirtualClock, logLines: string[]): ExchangeDispatcher {
+  const destination = new PassThrough().on('data', line => { logLines.push(String(line)) })
   return ExchangeDispatcher.create({
     ...noCacheStores,
     clock,
@@ -51,28 +51,28 @@
   })
 }
 
-describe('a server that takes no connection', () => {
-  it('is told of at once, and passed over by the next request', async t => {
+describe('a server that accepts no connection', () => {
+  it('is reported at once and skipped by the next request', async t => {
     const rig = await RelayRig.start({}, answerWell, answerWell)
     rig.servers[0]?.stop()
-    t.true((await rig.ask('one')).endsWith('ok'))
+    t.true((await rig.sendRequest('one')).endsWith('ok'))
     t.deepEqual(rig.unreachable, ['s0'])
     t.true((rig.directory.get('s0')?.absentUntil ?? 0) > rig.clock.now())
     t.is(rig.directory.get('s1')?.absentUntil, 0)
     rig.stop()
   })
 
-  it('is passed over where others could not reach it, with one line for each time', async t => {
+  it('is skipped when other instances could not reach it, and logged once each time', async t => {
     const clock = VirtualClock.create()
-    const told: string[] = []
-    const desk = createDesk(clock, told)
-    desk.directory.applyEntry({ id: 'dark', startedAt: 0, service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 8, state: ServerState.Ready, coldLeftMs: 0, weights: new Map() }, 1)
-    const dark = desk.directory.get('dark')
-    desk.recordUnreachable(dark?.hash ?? 0)
-    desk.recordUnreachable(dark?.hash ?? 0)
-    desk.recordUnreachable(4711)
-    t.true((dark?.absentUntil ?? 0) > clock.now())
+    const logLines: string[] = []
+    const dispatcher = createDispatcher(clock, logLines)
+    dispatcher.directory.applyEntry({ id: 'dark', startedAt: 0, service: 's', address: '127.0.0.1:1', failureDomain: 'd', slots: 8, state: ServerState.Ready, coldLeftMs: 0, weights: new Map() }, 1)
+    const unreachable = dispatcher.directory.get('dark')
+    dispatcher.recordUnreachable(unreachable?.hash ?? 0)
+    dispatcher.recordUnreachable(unreachable?.hash ?? 0)
+    dispatcher.recordUnreachable(4711)
+    t.true((unreachable?.absentUntil ?? 0) > clock.now())
     await new Promise(resolve => setImmediate(resolve))
-    t.is(told.join('').split('could not reach').length - 1, 1)
+    t.is(logLines.join('').split('could not reach').length - 1, 1)
   })
 })
--- a/packages/foxtaillever-relay/src/attempts/__tests__/planTerms.test.ts
+++ b/packages/foxtaillever-relay/src/attempts/__tests__/planTerms.test.ts
@@ -1,7 +1,7 @@
 import { hashNumber } from 'foxtaillever-core'
 import { SavedLevels } from 'foxtaillever-policy/relay/savedLevels'
 import { describe, it } from 'foxtaillever-testing'
-import { exchangeAt } from '../../__fixtures__/exchanges.js'
+import { createExchange } from '../../__fixtures__/createExchange.js'
 import { FetchLoad } from '../../cache/fetchLoad.js'
 import { ServerState, type ListedServer } from '../../model/listedServer.js'
 import type { CacheStore, Routing } from '../../model/routing.js'
@@ -41,7 +41,7 @@
   terms (subject: number, request: number, failureDomain = 'a', now = 0, tokensBefore = 0): SendTerms {
     const listed = listedEngine('e', '127.0.0.1:1', failureDomain)
     const levels = [{ id: 'root', tokens: 2520 }, { id: `subject ${subject}`, tokens: 3780 }, { id: `own ${request}`, tokens: OWN_TOKENS }]
-    const exchange = exchangeAt(now, { prompt: { model: 'model', levels, promptTokens: 9190, outputTokens: 10 } })
+    const exchange = createExchange(now, { prompt: { model: 'model', levels, promptTokens: 9190, outputTokens: 10 } })
     return planTerms(exchange, { listed, weights: new Map([['model', 1]]) }, '', { routing, stores: routing.cacheStores.filter(({ address }) => !this.silent.has(address)), savedLevels: this.savedLevels, fetchLoad: this.fetchLoad, tokensBefore, tokensPerMs: 110, now })
   }
 }
@@ -100,7 +100,7 @@
   // The engine's queue alone takes longer than the objective. At its usual priority the request would be late, and it
   // would also delay the next one, which could still be in time.
   it('lower the priority of a request that the queue makes late, and of no other', t => {
-    const { objectiveMs } = exchangeAt(0).route
+    const { objectiveMs } = createExchange(0).route
     const instance = new Instance()
     const [idle, full] = [instance.terms(1, 1), instance.terms(2, 2, 'a', 0, objectiveMs * 110)]
     t.false(idle.isYielding)
--- a/packages/foxtaillever-relay/src/callers/__tests__/callerConnections.test.ts
+++ b/packages/foxtaillever-relay/src/callers/__tests__/callerConnections.test.ts
@@ -1,8 +1,8 @@
 /**
  * A caller opens a connection and first uses it seconds later, or an answer
- * that began before a shutdown ends after it. When such a connection outlives
- * the shutdown's close, the caller's next request is cut as the process ends,
- * and the caller cannot tell whether it has run.
+ * that began before a shutdown ends after it. If the shutdown does not close
+ * such a connection, the process ends during the caller's next request, and the
+ * caller does not know whether it ran.
  */
 import { createServer, type Server, type ServerResponse } from 'node:http'
 import { connect, type AddressInfo, type Socket } from 'node:net'
@@ -51,14 +51,14 @@
     t.pass()
   })
 
-  it('closes a connection after the answer that had begun before, and not earlier', async t => {
+  it('closes a connection after an answer that had already begun, and not earlier', async t => {
     const { server, connections, open, nextRequest } = await createRig()
     const socket = await open()
     const chunks: Buffer[] = []
     socket.on('data', (chunk: Buffer) => chunks.push(chunk))
-    const asked = nextRequest()
+    const received = nextRequest()
     socket.write(HEAD)
-    const response = await asked
+    const response = await received
     response.writeHead(200, { 'Content-Length': '4' })
     response.write('ab')
     server.close()
@@ -68,12 +68,12 @@
     t.true(Buffer.concat(chunks).toString().endsWith('abcd'))
   })
 
-  it('closes a connection whose last answer is out', async t => {
+  it('closes a connection whose last answer is complete', async t => {
     const { server, connections, open, nextRequest } = await createRig()
     const socket = await open()
-    const asked = nextRequest()
+    const received = nextRequest()
     socket.write(HEAD)
-    const response = await asked
+    const response = await received
     const closed = once(response, 'close')
     response.end('x')
     await Promise.all([closed, once(socket, 'data')])
--- a/packages/foxtaillever-relay/src/limits/__tests__/accountQuotas.test.ts
+++ b/packages/foxtaillever-relay/src/limits/__tests__/accountQuotas.test.ts
@@ -44,7 +44,7 @@
   it('refuses at once with the verdict not_run and a time to retry', async t => {
     const rig = await RelayRig.start({}, answerOk)
     installQuotas(rig, { outcome: LimitOutcome.Refused, retryAt: rig.clock.now() + 1250 })
-    const answer = await rig.ask('a')
+    const answer = await rig.sendRequest('a')
     rig.stop()
     t.true(answer.startsWith('HTTP/1.1 429'), answer)
     t.true(answer.includes('Retry-After: 1.25'), answer)
@@ -56,7 +56,7 @@
   it('answers 503 where no instance decides', async t => {
     const rig = await RelayRig.start({}, answerOk)
     installQuotas(rig, { outcome: LimitOutcome.NotMine })
-    const answer = await rig.ask('a')
+    const answer = await rig.sendRequest('a')
     rig.stop()
     t.true(answer.startsWith('HTTP/1.1 503'), answer)
     t.is(rig.arrivals, 0)
@@ -84,9 +84,9 @@
     })
     const calls: ProtocolCalls = { costs: [], refunds: [] }
     installQuotas(rig, {}, calls)
-    t.true((await rig.ask('full')).startsWith('HTTP/1.1 503'))
+    t.true((await rig.sendRequest('full')).startsWith('HTTP/1.1 503'))
     t.deepEqual(calls.refunds, [200])
-    t.true((await rig.ask('well')).startsWith('HTTP/1.1 200'))
+    t.true((await rig.sendRequest('well')).startsWith('HTTP/1.1 200'))
     rig.stop()
     t.deepEqual(calls, { costs: [200, 200], refunds: [200] })
   })
--- a/packages/foxtaillever-relay/src/limits/__tests__/serverLimits.test.ts
+++ b/packages/foxtaillever-relay/src/limits/__tests__/serverLimits.test.ts
@@ -1,5 +1,5 @@
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
-import { exchangeAt } from '../../__fixtures__/exchanges.js'
+import { createExchange } from '../../__fixtures__/createExchange.js'
 import { LimitStatementKind, noLimit, type LimitStatement } from '../../model/limitStatement.js'
 import { ServerState } from '../../model/listedServer.js'
 import { ServerDirectory } from '../../servers/serverDirectory.js'
@@ -55,7 +55,7 @@
   /** Whether a request is counted against a limit. */
   get isLimited (): boolean {
     let found = LimitAdmission.Free
-    this.limits.admit(this.server, exchangeAt(this.clock.now()), admission => { found = admission })
+    this.limits.admit(this.server, createExchange(this.clock.now()), admission => { found = admission })
     return found !== LimitAdmission.Free
   }
 }
--- a/packages/foxtaillever-relay/src/servers/__tests__/serverSelector.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/serverSelector.test.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from 'foxtaillever-core'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
-import { exchangeAt } from '../../__fixtures__/exchanges.js'
+import { createExchange } from '../../__fixtures__/createExchange.js'
 import { ServerState } from '../../model/listedServer.js'
 import { FleetLoad } from '../../peers/fleetLoad.js'
 import { ServerSelector } from '../serverSelector.js'
@@ -20,7 +20,7 @@
   }
   const weights = { outdatedSince: () => clock.now() - outdatedMs }
   const selector = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad: FleetLoad.create(clock), estimateLevelFetch: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 0 }), stores: () => [], weights, weightsBoundMs: BOUND_MS })
-  return selector.selectServer(exchangeAt(clock.now()), { failed: new Set(), wasMisdirected: false }) !== undefined
+  return selector.selectServer(createExchange(clock.now()), { failed: new Set(), wasMisdirected: false }) !== undefined
 }
 
 /** The engine chosen among twenty: the queried ones have the given numbers of tokens to process, and nothing is known of the others. */
@@ -41,7 +41,7 @@
   }
   const selector = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad, estimateLevelFetch: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 9190 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
   const hashes = new Set([...queried.keys()].flatMap(id => directory.get(id)?.hash ?? []))
-  return selector.selectServer(exchangeAt(clock.now(), { service: 'engines', prompt: { model: 'model', levels: [{ id: 'root', tokens: 6300 }, { id: 'own', tokens: 2890 }], promptTokens: 9190, outputTokens: 10 } }), { failed: new Set(), wasMisdirected: false }, hashes)?.listed.id
+  return selector.selectServer(createExchange(clock.now(), { service: 'engines', prompt: { model: 'model', levels: [{ id: 'root', tokens: 6300 }, { id: 'own', tokens: 2890 }], promptTokens: 9190, outputTokens: 10 } }), { failed: new Set(), wasMisdirected: false }, hashes)?.listed.id
 }
 
 describe('ServerSelector with many servers', () => {
@@ -74,7 +74,7 @@
     const selector = ServerSelector.create({ clock, random: SeededRandom.create(1), failureDomain: 'a', directory, fleetLoad: FleetLoad.create(clock), estimateLevelFetch: () => ({ fetchMs: 0, waitMs: 0, missingTokens: () => 628 }), stores: () => [], weights: { outdatedSince: () => undefined }, weightsBoundMs: BOUND_MS })
     for (let run = 0; run < 64; run += 1) {
       const prompt = { model: 'model', levels: [{ id: `subject-${run}`, tokens: 198 }, { id: `own-${run}`, tokens: 628 }], promptTokens: 826, outputTokens: 500 }
-      const engine = selector.selectServer(exchangeAt(clock.now(), { service: 'engines', prompt }), { failed: new Set(), wasMisdirected: false })
+      const engine = selector.selectServer(createExchange(clock.now(), { service: 'engines', prompt }), { failed: new Set(), wasMisdirected: false })
       if (engine) {
         engine.outstanding += 1
       }
--- a/packages/foxtaillever-relay/src/settings/__tests__/settingsFile.test.ts
+++ b/packages/foxtaillever-relay/src/settings/__tests__/settingsFile.test.ts
@@ -1,8 +1,8 @@
 /**
  * The platform rewrites the settings of a running process, with a signal or
- * without one, and a file may be read while it is half written. A process that
- * ends at the signal cuts every request it holds; one that takes broken text
- * for settings loses its limits.
+ * without one, and the file may be read while it is half written. A process that
+ * exits at the signal drops all its requests; one that accepts incomplete text
+ * as settings loses its limits.
  */
 import { Left, Right } from 'purify-ts'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
@@ -28,7 +28,7 @@
 }
 
 describe('SettingsFile', () => {
-  it('takes over changes at a signal and without one, each once', async t => {
+  it('applies each change once, with a signal and without one', async t => {
     const { clock, write, file, seen } = createFile()
     t.is(file.readFirst().extract(), 1)
     file.startPolling()
@@ -40,7 +40,7 @@
     t.deepEqual(seen, [2, 3])
   })
 
-  it('keeps the last good settings while the file cannot be read, and says so once', async t => {
+  it('keeps the last valid settings while the file cannot be read, and reports each reason once', async t => {
     const { clock, write, file, seen } = createFile()
     file.readFirst()
     file.startPolling()
--- a/packages/foxtaillever-router/src/plain/__tests__/plainAnswers.test.ts
+++ b/packages/foxtaillever-router/src/plain/__tests__/plainAnswers.test.ts
@@ -1,20 +1,20 @@
 /** What callers get when plain services answer in part, twice, late or with failures of their own. */
-import { bodyOf, play, Way } from 'foxtaillever-relay/__fixtures__/misbehaviour'
+import { bodyOf, respondAs, ServerBehaviour } from 'foxtaillever-relay/__fixtures__/serverBehaviour'
 import { wholeAnswer, type Answer } from 'foxtaillever-relay/__fixtures__/scriptedServer'
 import { describe, it } from 'foxtaillever-testing'
 import { PlainRig } from '../__fixtures__/plainRig.js'
 
 const wholeBody = bodyOf({ id: '' })
 
-function playing (way: Way): Answer {
-  return arrival => play(way, false, arrival)
+function playing (way: ServerBehaviour): Answer {
+  return arrival => respondAs(way, false, arrival)
 }
 
 describe('answers of plain services', () => {
   // The service of an export crashes in the middle of an answer that says no
   // length. Passed on as whole, half an export would be filed as the export.
   it('are not passed on as whole when they were cut', async t => {
-    for (const way of [Way.UnframedReset, Way.ResetInBody, Way.CutInBody, Way.CutInHead]) {
+    for (const way of [ServerBehaviour.UnframedReset, ServerBehaviour.ResetInBody, ServerBehaviour.CutInBody, ServerBehaviour.CutInHead]) {
       const rig = await PlainRig.start(t, playing(way))
       const { status, headers } = await rig.call('POST', '/exports')
       t.is(status, 502, way)
@@ -23,15 +23,15 @@
   })
 
   it('are asked of another server when a lookup was cut', async t => {
-    const rig = await PlainRig.start(t, playing(Way.CutInBody), playing(Way.Unframed))
+    const rig = await PlainRig.start(t, playing(ServerBehaviour.CutInBody), playing(ServerBehaviour.Unframed))
     t.is((await rig.call('GET', '/citations/1')).body, wholeBody)
   })
 
   // A service answers one call twice. Read by the next call, the second answer
   // would give one client the records of another.
   it('are never those of a call before', async t => {
-    for (const way of [Way.WholeAndAnother, Way.WholeThenLate]) {
-      const rig = await PlainRig.start(t, arrival => play(rig.arrivals[0] === 1 ? way : Way.Whole, false, arrival))
+    for (const way of [ServerBehaviour.WholeAndAnother, ServerBehaviour.WholeThenLate]) {
+      const rig = await PlainRig.start(t, arrival => respondAs(rig.arrivals[0] === 1 ? way : ServerBehaviour.Whole, false, arrival))
       t.is((await rig.call('GET', '/citations/1')).body, wholeBody, way)
       await rig.servers[0]?.closed(0)
       t.is((await rig.call('GET', '/citations/2')).body, wholeBody, way)
@@ -62,7 +62,7 @@
 
   // One server answers a lookup with an error of its own while the other is well.
   it('that are failures are asked of another server where that does no harm', async t => {
-    const rig = await PlainRig.start(t, playing(Way.Failed), playing(Way.Whole))
+    const rig = await PlainRig.start(t, playing(ServerBehaviour.Failed), playing(ServerBehaviour.Whole))
     t.is((await rig.call('POST', '/exports')).status, 500)
     t.is((await rig.call('GET', '/citations/1')).body, wholeBody)
   })
@@ -72,7 +72,7 @@
   // A server hangs with a lookup while the other answers within milliseconds.
   // Waited out, the caller has nothing at its deadline.
   it('lose a lookup to another server once it is known what is usual', async t => {
-    const rig = await PlainRig.start(t, arrival => rig.arrivals[0] === 1 && play(Way.Whole, false, arrival), playing(Way.Whole))
+    const rig = await PlainRig.start(t, arrival => rig.arrivals[0] === 1 && respondAs(ServerBehaviour.Whole, false, arrival), playing(ServerBehaviour.Whole))
     await rig.call('GET', '/citations/1')
     const late = rig.call('GET', '/citations/2')
     await rig.servers[0]?.arrived(2)
