--- a/packages/foxtaillever-relay/src/bench/controlCost.ts
+++ b/packages/foxtaillever-relay/src/bench/controlCost.ts
@@ -1,6 +1,7 @@
 /**
- * Prints what instances cost each other, piece by piece, by the number of
- * instances and of backend servers. Run it with `npm run bench:control`.
+ * Measures the cost of the communication between instances, operation by
+ * operation, by the number of instances and of backend servers. Run it with
+ * `npm run bench:control`.
  */
 import { performance } from 'node:perf_hooks'
 import { hashNumber, SeededRandom, SystemClock } from 'foxtaillever-core'
@@ -20,13 +21,13 @@
 const INSTANCES = [8, 80, 195, 380]
 const SERVERS = [6, 55, 670]
 
-/** Requests under way at one instance, each at a server of its own. */
-const OPEN = 5
+/** Requests in flight at one instance, each at a different server. */
+const IN_FLIGHT = 5
 
 /** Client accounts with a quota. */
 const ACCOUNTS = 1700
 
-/** Each piece is run for so long, milliseconds, after as long without measuring. */
+/** Each operation is measured for this long, milliseconds, after a warm-up of the same length. */
 const MEASURED_MS = 60
 
 const clock = SystemClock.create()
@@ -36,14 +37,14 @@
   readonly servers: readonly number[]
 }
 
-type Piece = () => void
+type Operation = () => void
 
-function meanUs (piece: Piece): number {
+function meanUs (operation: Operation): number {
   const run = (): number => {
     const start = performance.now()
     let runs = 0
     while (performance.now() < start + MEASURED_MS) {
-      piece()
+      operation()
       runs += 1
     }
     return (performance.now() - start) * 1000 / runs
@@ -52,11 +53,11 @@
   return run()
 }
 
-function useOf (server: number, outstanding: number): ServerUse {
+function createUse (server: number, outstanding: number): ServerUse {
   return { server, outstanding, tokens: 2890, heldTokens: 9200 }
 }
 
-function beatOf (address: string, sums: readonly ServerUse[]): PeerMessage {
+function heartbeatOf (address: string, sums: readonly ServerUse[]): PeerMessage {
   return {
     name: address,
     address,
@@ -80,7 +81,7 @@
   }
 }
 
-function createTalk (watchers: ComputedWatchers, address: string): LoadProtocol {
+function createProtocol (watchers: ComputedWatchers, address: string): LoadProtocol {
   return LoadProtocol.create({
     clock, address, use: FleetLoad.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), own: () => [], isQueried: () => true, onSaved: () => {}, onUnreachable: () => {}, onBackingOff: () => {}, onUnresponsive: () => {}
   })
@@ -110,52 +111,52 @@
   promptKey: 42, promptTokens: 9190, sharedTokens: 6300, outputTokens: 10, pace: { tokensPerMs: 50, fetchMs: 20 }, objectiveMs: 800, workMs: 20, fetchWaitMs: 0, failureDomain: 'domain-0'
 }
 
-const pieces: Readonly<Record<string, (size: Size) => Piece>> = {
+const operations: Readonly<Record<string, (size: Size) => Operation>> = {
   'members change, all watchers anew': ({ addresses, servers }) => {
     const watchers = ComputedWatchers.create()
-    let isWhole = false
+    let hasAllMembers = false
     return () => {
-      isWhole = !isWhole
-      watchers.setMembers(isWhole ? addresses : addresses.slice(1))
+      hasAllMembers = !hasAllMembers
+      watchers.setMembers(hasAllMembers ? addresses : addresses.slice(1))
       servers.forEach(server => watchers.of(server))
     }
   },
   'beat made': ({ addresses: [address = '', ...others], servers }) => {
     const watchers = ComputedWatchers.create()
     watchers.setMembers([address, ...others])
-    const talk = createTalk(watchers, address)
-    return () => { encodePeerMessage(beatOf(address, talk.sums(servers))) }
+    const protocol = createProtocol(watchers, address)
+    return () => { encodePeerMessage(heartbeatOf(address, protocol.sums(servers))) }
   },
   'beat heard': ({ addresses }) => {
     const table = PeerTable.create()
-    const beats = addresses.map(address => encodePeerMessage(beatOf(address, [])))
+    const heartbeats = addresses.map(address => encodePeerMessage(heartbeatOf(address, [])))
     let turn = 0
     return () => {
-      const bytes = beats[turn++ % beats.length] ?? Buffer.alloc(0)
+      const bytes = heartbeats[turn++ % heartbeats.length] ?? Buffer.alloc(0)
       unpackDatagram(bytes).chain(readPeerMessage).ifJust(message => table.recordMessage(message, clock.now()))
     }
   },
-  'word heard, question answered': ({ addresses: [address = '', other = '', ...others], servers: [server = 0] }) => {
+  'report received, query answered': ({ addresses: [address = '', other = '', ...others], servers: [server = 0] }) => {
     const watchers = ComputedWatchers.create()
     watchers.setMembers([address, other, ...others])
-    const talk = createTalk(watchers, address)
-    const word = encodeLoadMessage({ kind: 11, address: other, loads: [useOf(server, 1)], unreachable: [], saved: [], backingOff: [] })
-    const question = encodeLoadMessage({ kind: 12, address: other, number: 1, servers: [server], levels: [7] })
-    return () => [word, question].forEach(bytes => unpackDatagram(bytes).chain(readLoadMessage).ifJust(message => talk.handleMessage(message)))
+    const protocol = createProtocol(watchers, address)
+    const report = encodeLoadMessage({ kind: 11, address: other, loads: [createUse(server, 1)], unreachable: [], saved: [], backingOff: [] })
+    const query = encodeLoadMessage({ kind: 12, address: other, number: 1, servers: [server], levels: [7] })
+    return () => [report, query].forEach(bytes => unpackDatagram(bytes).chain(readLoadMessage).ifJust(message => protocol.handleMessage(message)))
   },
-  'look, with five requests under way': ({ addresses: [address = '', ...others], servers }) => {
+  'check, with five requests in flight': ({ addresses: [address = '', ...others], servers }) => {
     const watchers = ComputedWatchers.create()
     watchers.setMembers([address, ...others])
     let outstanding = 0
-    const talk = LoadProtocol.create({
-      clock, address, use: FleetLoad.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), own: () => servers.slice(0, OPEN).map(server => useOf(server, 1 + outstanding % 2)), isQueried: () => true, onSaved: () => {}, onUnreachable: () => {}, onBackingOff: () => {}, onUnresponsive: () => {}
+    const protocol = LoadProtocol.create({
+      clock, address, use: FleetLoad.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), own: () => servers.slice(0, IN_FLIGHT).map(server => createUse(server, 1 + outstanding % 2)), isQueried: () => true, onSaved: () => {}, onUnreachable: () => {}, onBackingOff: () => {}, onUnresponsive: () => {}
     })
     return () => {
       outstanding += 1
-      talk.handleHeartbeat()
+      protocol.handleHeartbeat()
     }
   },
-  'quota asked, decided and answered, 1,700 accounts in turn': ({ addresses }) => {
+  'quota requested, decided and answered, 1,700 accounts in turn': ({ addresses }) => {
     const limitOwners = LimitOwners.create(0)
     limitOwners.setMembers(addresses, true, clock.now())
     const ranked = limitOwners.of('account-0')
@@ -166,7 +167,7 @@
       ranking: () => ranked,
       stableSince: () => 0,
       instanceCount: () => addresses.length,
-      send: (to, message) => { unpackDatagram(encodeLimitMessage(message)).chain(readLimitMessage).ifJust(heard => protocols[ranked.indexOf(to)]?.receive(heard)) },
+      send: (to, message) => { unpackDatagram(encodeLimitMessage(message)).chain(readLimitMessage).ifJust(received => protocols[ranked.indexOf(to)]?.receive(received)) },
       onInstanceSeen: () => {},
       onDecided: () => {},
       onUnresponsive: () => {}
@@ -181,7 +182,7 @@
   }
 }
 
-for (const [name, prepare] of Object.entries(pieces)) {
+for (const [name, prepare] of Object.entries(operations)) {
   console.log(`\n${name}, microseconds\n${['instances', ...SERVERS.map(servers => `${servers} servers`)].join('\t')}`)
   for (const instances of INSTANCES) {
     const addresses = Array.from({ length: instances }, (_, index) => `10.0.${index >> 8}.${index & 255}:7340`)
