--- a/packages/foxtaillever-policy/src/bench/engineFleet.ts
+++ b/packages/foxtaillever-policy/src/bench/engineFleet.ts
@@ -6,9 +6,9 @@
  */
 import { exponential, SeededRandom } from 'foxtaillever-core'
 import { mixHashes } from '../placement/rendezvous.js'
-import { rankOffers, type ServerOffer } from '../relay/placeExchange.js'
-import { fadeLoad, noLoad, type ServerLoad } from '../relay/serverLoad.js'
-import { isToYield } from '../relay/yieldPriority.js'
+import { rankCandidates, type ServerCandidate } from '../relay/placeExchange.js'
+import { decayLoad, noLoad, type ServerLoad } from '../relay/serverLoad.js'
+import { shouldYield } from '../relay/yieldPriority.js'
 import { Knowledge, type FleetOutcome, type FleetShape } from './fleetShape.js'
 
 interface Request {
@@ -28,7 +28,7 @@
 }
 
 interface Engine {
-  readonly offer: ServerOffer
+  readonly offer: ServerCandidate
   readonly queue: Request[]
   readonly running: Request[]
   /** Kept levels, the least recently used first. */
@@ -108,7 +108,7 @@
   private isToYield (instance: number, engine: number, unread: number): boolean {
     const { waitingTokens } = this.offerOf(engine, instance)
     const waitMs = waitingTokens / this.tokensPerMs
-    return this.shape.isYielding === true && isToYield({ elapsedMs: 0, waitMs, readMs: unread / this.tokensPerMs, objectiveMs: OBJECTIVE_MS })
+    return this.shape.isYielding === true && shouldYield({ elapsedMs: 0, waitMs, readMs: unread / this.tokensPerMs, objectiveMs: OBJECTIVE_MS })
   }
 
   private get tokensPerMs (): number {
@@ -118,7 +118,7 @@
   private place (instance: number, key: number, promptTokens: number): number {
     const pace = { tokensPerMs: this.tokensPerMs, fetchMs: FETCH_MS }
     const need = { promptKey: key, promptTokens, sharedTokens: 0, outputTokens: 0, pace, objectiveMs: OBJECTIVE_MS, workMs: 0, fetchWaitMs: this.shape.isLinkCharged ? Math.max(0, this.linkFreeAt - this.now) : 0, failureDomain: `${instance % 3}` }
-    const rank = (): readonly ServerOffer[] => rankOffers(this.engines.map((_, index) => this.offerOf(index, instance)), need, this.random)
+    const rank = (): readonly ServerCandidate[] => rankCandidates(this.engines.map((_, index) => this.offerOf(index, instance)), need, this.random)
     if (this.shape.knowledge === Knowledge.Asked) {
       rank().slice(0, 2).filter(() => this.random.next() >= this.shape.loss * 2).forEach(({ id }) => this.ask(instance, Number(id)))
     }
@@ -129,7 +129,7 @@
     this.heard[instance]?.set(engine, { ...this.loadOf(engine, request => request.instance !== instance), at: this.now })
   }
 
-  private offerOf (engine: number, instance: number): ServerOffer {
+  private offerOf (engine: number, instance: number): ServerCandidate {
     const own = this.loadOf(engine, request => request.instance === instance)
     const others = this.othersLoad(engine, instance)
     const { offer } = this.engines[engine] as Engine
@@ -139,7 +139,7 @@
   private othersLoad (engine: number, instance: number): ServerLoad {
     if (this.shape.knowledge === Knowledge.Asked) {
       const word = this.heard[instance]?.get(engine)
-      return word === undefined ? noLoad : fadeLoad(word, this.now - word.at)
+      return word === undefined ? noLoad : decayLoad(word, this.now - word.at)
     }
     return sum([...this.words[instance]?.values() ?? []].map(word => word.get(engine) ?? noLoad))
   }
@@ -232,7 +232,7 @@
   }
 }
 
-function createOffer (index: number): ServerOffer {
+function createOffer (index: number): ServerCandidate {
   return {
     id: String(index),
     hash: mixHashes(index + 1, 77),
@@ -244,7 +244,7 @@
     heldTokens: 0,
     memoryTokens: MEMORY,
     isRefusing: false,
-    isAbsent: false,
+    isUnreachable: false,
     faultCostMs: 0,
     isChanging: false,
     isOutdated: false,
--- a/packages/foxtaillever-policy/src/relay/__tests__/largeFleet.test.ts
+++ b/packages/foxtaillever-policy/src/relay/__tests__/largeFleet.test.ts
@@ -3,54 +3,58 @@
 import { EngineFleet } from '../../bench/engineFleet.js'
 import { Knowledge, type FleetOutcome } from '../../bench/fleetShape.js'
 import { ComputedWatchers, watchersOf } from '../computedWatchers.js'
-import { fadeLoad, sampleSum } from '../serverLoad.js'
+import { decayLoad, estimateSum } from '../serverLoad.js'
 
-/** Seventy instances before forty-two engines, with half more than their usual load. */
-function play (knowledge: Knowledge, seed: number, linkRate: number): FleetOutcome {
+/** Simulates seventy instances and forty-two engines at one and a half times their usual load. */
+function simulate (knowledge: Knowledge, seed: number, linkRate: number): FleetOutcome {
   return EngineFleet.play({ instances: 70, engines: 42, rate: 600, linkRate, knowledge, isLinkCharged: true, loss: 0.025, seed })
 }
 
 /** Tokens a millisecond: no fetch waits. */
 const WIDE_LINK = 5000
 
-/** Tokens a millisecond of a store at 525 Gbit/s, twice as long between failure domains: a third of the levels fit through. */
+/** Tokens a millisecond of a store at 525 Gbit/s, twice as long between failure domains: enough for a third of the levels. */
 const NARROW_LINK = 200
 
 describe('a large fleet', () => {
   for (const seed of [1, 2, 3]) {
-    // An instance meets an engine every few seconds and hears of the others' load when it is over. It leaves idle homes for busy engines, and callers wait behind each other.
-    it(`lets callers wait less when it asks before it chooses, seed ${seed}`, t => {
-      const beats = play(Knowledge.Beats, seed, WIDE_LINK)
-      const asked = play(Knowledge.Asked, seed, WIDE_LINK)
+    // An instance uses each engine every few seconds and learns of the others' load after it has ended. It passes by idle
+    // homes for busy engines, and callers wait behind each other.
+    it(`lets callers wait less when instances query the load before they choose, seed ${seed}`, t => {
+      const beats = simulate(Knowledge.Beats, seed, WIDE_LINK)
+      const asked = simulate(Knowledge.Asked, seed, WIDE_LINK)
       t.log(JSON.stringify({ beats, asked }))
       t.true(asked.p99 < beats.p99 * 0.8)
     })
 
-    // Each request that leaves a home for a moment's wait has its level fetched. The store's link fills, and then two levels in three are read again, which costs more than the requests earn.
+    // Each request that avoids a short wait at its home has its level fetched. The store's link fills, and then two levels
+    // in three are read again, which costs more than the requests earn.
     it(`keeps levels at their homes while the store's link is busy, seed ${seed}`, t => {
-      const asked = play(Knowledge.Asked, seed, NARROW_LINK)
+      const asked = simulate(Knowledge.Asked, seed, NARROW_LINK)
       t.log(JSON.stringify({ asked }))
       t.true(asked.againShare < 0.45)
       t.true(asked.p50 < 50)
     })
   }
 
-  // Half of the words are seconds old while fetches last a quarter of one: their sum shows a link as busy that is idle, and the other way round.
-  it('reckons the load of all from the words of late', t => {
-    const words = [{ amount: 0, ageMs: 3000 }, { amount: 4000, ageMs: 20 }, { amount: 2000, ageMs: 20 }, { amount: 0, ageMs: 2500 }]
-    const sum = sampleSum(words, 80)
+  // Half of the reports are seconds old, while fetches last a quarter of a second: the sum of all would show an idle link
+  // as busy, and the other way round.
+  it('estimates the total load from recent reports', t => {
+    const reports = [{ amount: 0, ageMs: 3000 }, { amount: 4000, ageMs: 20 }, { amount: 2000, ageMs: 20 }, { amount: 0, ageMs: 2500 }]
+    const sum = estimateSum(reports, 80)
     t.true(sum > 0.95 * 240_000 && sum < 240_000)
-    t.is(sampleSum([], 80), 0)
+    t.is(estimateSum([], 80), 0)
   })
 
-  it('takes little from an old word', t => {
-    const { outstanding, tokens } = fadeLoad({ outstanding: 8, tokens: 8000, heldTokens: 0 }, 400)
+  it('gives little weight to an old report', t => {
+    const { outstanding, tokens } = decayLoad({ outstanding: 8, tokens: 8000, heldTokens: 0 }, 400)
     t.is(outstanding, 4)
     t.is(tokens, 500)
   })
 
-  // Watchers are kept between words of load. Were they kept when an instance goes, words would go where nobody is.
-  it('keeps the watchers of a server for as long as the members stay the same', t => {
+  // Watchers are cached between load reports. If the cache outlived a change of members, reports would be sent to an
+  // instance that is gone.
+  it('caches the watchers of a server until the members change', t => {
     const addresses = Array.from({ length: 70 }, (_, index) => `10.0.0.${index}:7340`)
     const watchers = ComputedWatchers.create()
     watchers.setMembers(addresses)
@@ -63,7 +67,7 @@
     t.is(watchers.of(4711).length, 2)
   })
 
-  // An instance dies. If the watchers of all engines changed with it, nobody would know the load of any for a second.
+  // An instance crashes. If the watchers of all engines changed with it, no instance would know their load for a second.
   it('changes the watchers of few engines when an instance goes', t => {
     const instances = Array.from({ length: 70 }, (_, index) => ({ address: `a${index}`, hash: Math.imul(index + 1, 2_654_435_761) >>> 0 }))
     const engines = Array.from({ length: 420 }, (_, index) => Math.imul(index + 1, 40_503) >>> 0)
--- a/packages/foxtaillever-policy/src/relay/__tests__/levelHome.test.ts
+++ b/packages/foxtaillever-policy/src/relay/__tests__/levelHome.test.ts
@@ -18,9 +18,9 @@
 }
 
 interface Outcome {
-  /** Part of the levels that an engine reads in the domain of their store. */
+  /** Share of the levels whose engine is in the domain of their store. */
   readonly near: number
-  /** Levels of the engine with most, in times the mean. */
+  /** Levels of the engine with the most, as a multiple of the mean. */
   readonly most: number
   readonly engineOf: ReadonlyMap<number, string>
 }
@@ -42,13 +42,13 @@
 }
 
 describe('the home of a level', () => {
-  // Each store has a link of its own, which is the narrowest place at a peak. If all levels are fetched from one
-  // store, or across failure domains, callers wait for the link or for levels that are read again.
+  // Each store has its own link, which is the bottleneck at a peak. If all levels are fetched from one store, or across
+  // failure domains, callers wait for the link or for levels that are read again.
   describe('with a store in each failure domain', () => {
     const stores = placesIn(['a', 'b', 'c'], 1)
     const engines = placesIn(repeat(['a', 'b', 'c'], 14), 2)
 
-    it('is near its engine and spread over all', t => {
+    it('is in the domain of its engine, and levels are spread over all stores and engines', t => {
       const { near, most } = assign(stores, engines)
       t.is(near, 1)
       t.true(most < 1.6, `${most}`)
@@ -56,8 +56,8 @@
       t.true(counts.every(count => count > LEVELS * 0.28 && count < LEVELS * 0.39), `${counts}`)
     })
 
-    // An engine crashes. If the homes of other levels moved with it, the whole fleet would fetch or read at once.
-    it('stays when another engine goes', t => {
+    // An engine crashes. If the homes of other levels moved too, the whole fleet would fetch or read levels at once.
+    it('stays when another engine is removed', t => {
       const before = assign(stores, engines).engineOf
       const after = assign(stores, engines.slice(1)).engineOf
       const moved = [...before].filter(([key, name]) => name !== engines[0]?.name && after.get(key) !== name).length
@@ -65,14 +65,14 @@
     })
   })
 
-  // Engines of a failure domain without a store would get no level and stand idle, and the others would be full.
-  it('gives a failure domain without a store its part', t => {
+  // Without a share of the levels, engines of a failure domain without a store would be idle, and the others overloaded.
+  it('gives a failure domain without a store its share', t => {
     const { near, most } = assign(placesIn(['a', 'b', 'c'], 1), placesIn(repeat(['a', 'b', 'c', 'd'], 20), 2))
     t.true(near > 0.7 && near < 0.8, `${near}`)
     t.true(most < 1.9, `${most}`)
   })
 
-  it('is any engine alike where there is one store, or none', t => {
+  it('is any engine with equal probability where there is one store, or none', t => {
     const engines = placesIn(repeat(['a', 'b', 'c'], 2), 2)
     const one = assign(placesIn(['a'], 1), engines)
     t.true(one.near > 0.28 && one.near < 0.39, `${one.near}`)
--- a/packages/foxtaillever-policy/src/relay/__tests__/prefillSpeed.test.ts
+++ b/packages/foxtaillever-policy/src/relay/__tests__/prefillSpeed.test.ts
@@ -1,7 +1,7 @@
 /**
- * A deployment's engines read prompts at half the speed of those that a constant
- * was made for. Queues then look half as long as they are, and requests that went
- * to the few engines with the newest weights were all late by a little.
+ * The engines of a deployment read prompts at half the speed that a constant
+ * assumed. Queues then looked half as long as they were, and all requests that went
+ * to the few engines with the newest weights were slightly late.
  */
 import { SeededRandom } from 'foxtaillever-core'
 import { describe, it } from 'foxtaillever-testing'
@@ -9,19 +9,19 @@
 
 const SET_UP_MS = 20
 
-/** First events of an engine with that speed: queues are known half wrong, and one in ten stands still for long. */
+/** Samples of an engine with that speed: the known queue is wrong by up to a half, and one in ten engines is paused for long. */
 function observe (speed: PrefillSpeed, tokensPerMs: number, count: number, random: SeededRandom): void {
   for (let sample = 0; sample < count; sample += 1) {
     const tokens = 2000 + random.below(12_000)
     const wrong = 0.6 + 0.9 * random.next()
     const stall = random.next() < 0.1 ? 1500 : 0
-    speed.observe(tokens, SET_UP_MS + tokens / tokensPerMs * wrong + stall)
+    speed.addSample(tokens, SET_UP_MS + tokens / tokensPerMs * wrong + stall)
   }
 }
 
 describe('the speed at which engines read prompts', () => {
   for (const truth of [14, 50, 110, 400]) {
-    it(`is found within a third of ${truth} tokens a millisecond after forty answers, whatever the seed`, t => {
+    it(`is estimated within a third of ${truth} tokens a millisecond after forty answers, whatever the seed`, t => {
       for (let seed = 1; seed <= 20; seed += 1) {
         const speed = PrefillSpeed.create()
         observe(speed, truth, 40, SeededRandom.create(seed))
@@ -31,7 +31,7 @@
     })
   }
 
-  it('follows engines that turn slow', t => {
+  it('follows engines that become slow', t => {
     const random = SeededRandom.create(1)
     const speed = PrefillSpeed.create()
     observe(speed, 110, 200, random)
@@ -43,27 +43,27 @@
     const speed = PrefillSpeed.create()
     observe(speed, 50, 100, SeededRandom.create(1))
     const before = speed.tokensPerMs
-    speed.observe(9000, 20_000)
+    speed.addSample(9000, 20_000)
     t.true(Math.abs(speed.tokensPerMs / before - 1) < 0.05)
   })
 
-  it('does not count prompts too short to tell it, nor answers sooner than one can be', t => {
+  it('ignores prompts that are too short and answers that are impossibly fast', t => {
     const speed = PrefillSpeed.create()
-    speed.observe(300, 400)
-    speed.observe(9000, 5)
+    speed.addSample(300, 400)
+    speed.addSample(9000, 5)
     t.is(speed.samples, 0)
   })
 
-  // A process that has just started knows nothing, and its first requests would be placed by a guess.
-  it('is taken from an instance that has seen more, until it has seen enough itself', t => {
+  // A process that has just started has no samples, and would place its first requests by the initial estimate.
+  it('is adopted from an instance with more samples until there are enough of its own', t => {
     const speed = PrefillSpeed.create()
-    speed.hear({ tokensPerMs: 31, samples: 500 })
+    speed.adoptReport({ tokensPerMs: 31, samples: 500 })
     t.true(Math.abs(speed.tokensPerMs - 31) < 0.001)
-    speed.hear({ tokensPerMs: 90, samples: 1000 })
+    speed.adoptReport({ tokensPerMs: 90, samples: 1000 })
     t.true(Math.abs(speed.tokensPerMs - 31) < 0.001)
     const other = PrefillSpeed.create()
     observe(other, 50, SETTLED_SAMPLES, SeededRandom.create(1))
-    other.hear({ tokensPerMs: NaN, samples: 10_000 })
+    other.adoptReport({ tokensPerMs: NaN, samples: 10_000 })
     t.true(Number.isFinite(other.tokensPerMs))
   })
 })
--- a/packages/foxtaillever-policy/src/relay/__tests__/retryShare.test.ts
+++ b/packages/foxtaillever-policy/src/relay/__tests__/retryShare.test.ts
@@ -1,4 +1,4 @@
-/** The retry budget of a fleet in every window, against an oracle that sees all arrivals. */
+/** Checks the retry budget of a fleet in every window against an oracle that sees all arrivals. */
 import fc from 'fast-check'
 import { describe, it } from 'foxtaillever-testing'
 import { RetryShare } from '../retryShare.js'
@@ -6,32 +6,32 @@
 const allowance = { ratio: 0.2, slack: 20, windowMs: 10_000 }
 const INSTANCES = 4
 
-enum Happening {
+enum EventKind {
   /** A caller's request. */
   Request = 'request',
-  /** One more arrival that an instance would like to send. */
+  /** An instance wants to send a retry. */
   Retry = 'retry',
-  /** The instance is killed and starts again, unless it has done so within the window. */
+  /** The instance is killed and restarts, unless it already did within the window. */
   Restart = 'restart'
 }
 
 interface Step {
   readonly afterMs: number
   readonly instance: number
-  readonly happening: Happening
+  readonly kind: EventKind
 }
 
-const happening = fc.oneof({ weight: 50, arbitrary: fc.constant(Happening.Request) }, { weight: 50, arbitrary: fc.constant(Happening.Retry) }, { weight: 2, arbitrary: fc.constant(Happening.Restart) })
+const kind = fc.oneof({ weight: 50, arbitrary: fc.constant(EventKind.Request) }, { weight: 50, arbitrary: fc.constant(EventKind.Retry) }, { weight: 2, arbitrary: fc.constant(EventKind.Restart) })
 
-const step: fc.Arbitrary<Step> = fc.record({ afterMs: fc.integer({ min: 0, max: 400 }), instance: fc.integer({ min: 0, max: INSTANCES - 1 }), happening })
+const step: fc.Arbitrary<Step> = fc.record({ afterMs: fc.integer({ min: 0, max: 400 }), instance: fc.integer({ min: 0, max: INSTANCES - 1 }), kind })
 
-function startShare (startedAt: number): RetryShare {
+function createShare (startedAt: number): RetryShare {
   const share = RetryShare.create(allowance, startedAt)
-  share.observeInstances(INSTANCES)
+  share.setInstances(INSTANCES)
   return share
 }
 
-/** In how many windows, each beginning at an arrival, more retries came than the requests and the constant allow. */
+/** Counts the windows, each beginning at a retry, with more retries than the requests and the constant allow. */
 function countOverrun (requests: readonly number[], retries: readonly number[]): number {
   return retries.filter(from => {
     const until = from + allowance.windowMs
@@ -43,25 +43,25 @@
 }
 
 describe('retry budget', () => {
-  // A service is in trouble and every request fails. All instances want to send
-  // theirs again, and together they would double the load that brought it down.
-  it('is kept in every window by all instances together, whatever comes when', t => {
+  // A service is overloaded and every request fails. If all instances retried
+  // their requests, they would double the load that caused the failure.
+  it('is kept in every window by all instances together, in any order of events', t => {
     fc.assert(fc.property(fc.array(step, { minLength: 50, maxLength: 600 }), steps => {
-      const shares = Array.from({ length: INSTANCES }, () => startShare(-allowance.windowMs))
+      const shares = Array.from({ length: INSTANCES }, () => createShare(-allowance.windowMs))
       const restartable = shares.map(() => 0)
       const requests: number[] = []
       const retries: number[] = []
       let now = 0
-      for (const { afterMs, instance, happening } of steps) {
+      for (const { afterMs, instance, kind } of steps) {
         now += afterMs
         const share = shares[instance] as RetryShare
-        if (happening === Happening.Restart && now >= (restartable[instance] ?? 0)) {
-          shares[instance] = startShare(now)
+        if (kind === EventKind.Restart && now >= (restartable[instance] ?? 0)) {
+          shares[instance] = createShare(now)
           restartable[instance] = now + allowance.windowMs
-        } else if (happening === Happening.Request) {
+        } else if (kind === EventKind.Request) {
           share.addRequest('s', now)
           requests.push(now)
-        } else if (happening === Happening.Retry && share.take('s', now)) {
+        } else if (kind === EventKind.Retry && share.tryRetry('s', now)) {
           retries.push(now)
         }
       }
@@ -70,55 +70,55 @@
     t.pass()
   })
 
-  it('lets retries through again when the window has passed', t => {
+  it('allows retries again when the window has passed', t => {
     const share = RetryShare.create(allowance, -allowance.windowMs)
-    share.observeInstances(1)
+    share.setInstances(1)
     let taken = 0
-    while (share.take('s', 0)) {
+    while (share.tryRetry('s', 0)) {
       taken += 1
     }
     t.true(taken > 0)
-    t.false(share.canTake('s', allowance.windowMs - 1))
-    t.true(share.canTake('s', allowance.windowMs + 1))
+    t.false(share.canRetry('s', allowance.windowMs - 1))
+    t.true(share.canRetry('s', allowance.windowMs + 1))
   })
 
-  // All processes are killed while every request fails, and start again at once.
-  // Each would spend its part of the constant anew, or all of it, as none has
-  // heard of the others yet.
-  it('is kept when all instances start again within a window, before they have heard of each other', t => {
+  // All processes are killed while every request fails, and restart at once. Each
+  // could use its part of the constant again, or all of it, since none knows of
+  // the others yet.
+  it('is kept when all instances restart within a window, before they know of each other', t => {
     const killedAt = 1000
     const spend = (share: RetryShare, now: number): number => {
       let taken = 0
-      while (share.take('s', now)) {
+      while (share.tryRetry('s', now)) {
         taken += 1
       }
       return taken
     }
-    const lives = Array.from({ length: INSTANCES }, () => [RetryShare.create(allowance, -allowance.windowMs), RetryShare.create(allowance, killedAt)] as const)
-    const before = lives.reduce((sum, [first]) => {
-      first.observeInstances(INSTANCES)
+    const processes = Array.from({ length: INSTANCES }, () => [RetryShare.create(allowance, -allowance.windowMs), RetryShare.create(allowance, killedAt)] as const)
+    const before = processes.reduce((sum, [first]) => {
+      first.setInstances(INSTANCES)
       return sum + spend(first, 0)
     }, 0)
-    const unheard = lives.reduce((sum, [, second]) => sum + spend(second, killedAt), 0)
-    const heard = lives.reduce((sum, [, second]) => {
-      second.observeInstances(INSTANCES)
+    const usedBeforeKnown = processes.reduce((sum, [, second]) => sum + spend(second, killedAt), 0)
+    const usedAfterKnown = processes.reduce((sum, [, second]) => {
+      second.setInstances(INSTANCES)
       return sum + spend(second, allowance.windowMs - 1)
     }, 0)
     t.true(before > 0)
-    t.is(unheard, 0)
-    t.true(before + heard <= allowance.slack)
+    t.is(usedBeforeKnown, 0)
+    t.true(before + usedAfterKnown <= allowance.slack)
   })
 
-  // A fleet starts for the first time, and its first callers meet a server that
-  // is full. Nothing was sent before, so nothing need be kept free for it.
-  it('is there from the start for an instance that never ran before', t => {
+  // A fleet starts for the first time, and its first requests reach a full server.
+  // Nothing was sent before, so no part of the budget need be reserved for it.
+  it('is available from the start for an instance that never ran before', t => {
     const [first, later] = [RetryShare.create(allowance, 0), RetryShare.create(allowance, 0)]
-    first.observeInstances(1)
-    first.observeFirstLife()
-    later.observeInstances(1)
+    first.setInstances(1)
+    first.recordFirstStart()
+    later.setInstances(1)
     const count = (share: RetryShare): number => {
       let taken = 0
-      while (share.take('s', 0)) {
+      while (share.tryRetry('s', 0)) {
         taken += 1
       }
       return taken
--- a/packages/foxtaillever-policy/src/relay/__tests__/savedLevels.test.ts
+++ b/packages/foxtaillever-policy/src/relay/__tests__/savedLevels.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'foxtaillever-testing'
 import { SavedLevels } from '../savedLevels.js'
 
-/** Tokens kept under names, the least recently used going first. */
+/** A cache of named entries, measured in tokens, that evicts the least recently used. */
 class TokenCache {
   private readonly kept = new Map<string, number>()
   private sum = 0
@@ -19,7 +19,7 @@
     return true
   }
 
-  put (name: string, tokens: number): void {
+  add (name: string, tokens: number): void {
     if (this.use(name)) {
       return
     }
@@ -50,8 +50,8 @@
   readonly readAgain: number
 }
 
-/** Plays a peak: the engines keep what they read for two seconds or so, the store more. */
-function play (isToSave: (instance: number, subject: number, now: number) => boolean, atSecond: (now: number) => void): Outcome {
+/** Simulates a peak: the engines keep what they read for about two seconds, the store longer. */
+function simulate (isToSave: (instance: number, subject: number, now: number) => boolean, atSecond: (now: number) => void): Outcome {
   const random = SeededRandom.create(7)
   const engines = Array.from({ length: ENGINES }, () => new TokenCache(90_000))
   const store = new TokenCache(862_112)
@@ -70,87 +70,87 @@
     const isFound = engine.use(level) || store.use(level)
     readAgain += !isFound && everRead.has(subject) ? 1 : 0
     everRead.add(subject)
-    engine.put(level, SHARED_TOKENS)
-    engine.put(`own ${request}`, OWN_TOKENS)
+    engine.add(level, SHARED_TOKENS)
+    engine.add(`own ${request}`, OWN_TOKENS)
     if (isToSave(random.below(INSTANCES), subject, now)) {
       saves += 1
-      store.put(level, SHARED_TOKENS)
-      store.put(`own ${request}`, OWN_TOKENS)
+      store.add(level, SHARED_TOKENS)
+      store.add(`own ${request}`, OWN_TOKENS)
     }
   }
   return { requests, saves, readAgain }
 }
 
 describe('SavedLevels', () => {
-  // At a peak every engine drops a prompt's shared part within seconds, and the store of cached parts is to bring it
-  // back. When each request also saves its own part there, which nobody asks for again, the store drops the shared
-  // ones as well and its link has no room for fetches. Users wait for prompts to be read that were read before.
+  // At a peak every engine evicts a prompt's shared level within seconds and fetches it from the store of cached levels
+  // again. When each request also saves its own part, which is never requested again, the store evicts the shared levels
+  // too, and its link has no capacity for fetches. Users wait for prompts to be read that were read before.
   it('keeps the store for shared levels at a peak', t => {
-    const everything = play(() => true, () => {})
+    const everything = simulate(() => true, () => {})
     const instances = Array.from({ length: INSTANCES }, () => SavedLevels.create())
-    const told = play(
+    const announced = simulate(
       (index, subject, now) => {
         const instance = instances[index]
-        const isToSave = instance?.take(subject, now) === true
+        const isToSave = instance?.claimSave(subject, now) === true
         if (isToSave) {
-          instance.confirm(subject, now)
+          instance.confirmSave(subject, now)
         }
         return isToSave
       },
       now => {
-        const news = instances.map(instance => instance.tell())
-        instances.forEach((instance, index) => news.forEach((levels, from) => { if (from !== index) instance.hear(levels, now) }))
+        const announcements = instances.map(instance => instance.nextAnnouncement())
+        instances.forEach((instance, index) => announcements.forEach((levels, from) => { if (from !== index) instance.recordAnnounced(levels, now) }))
       })
-    const figures = `read again: ${everything.readAgain} with all saved, ${told.readAgain} with ${told.saves} of ${told.requests} saved`
-    t.true(told.readAgain < everything.readAgain / 2, figures)
-    t.true(told.saves < told.requests / 2, figures)
+    const figures = `read again: ${everything.readAgain} with all saved, ${announced.readAgain} with ${announced.saves} of ${announced.requests} saved`
+    t.true(announced.readAgain < everything.readAgain / 2, figures)
+    t.true(announced.saves < announced.requests / 2, figures)
     t.log(figures)
   })
 
-  // The store restarts empty, and nobody notices. Were a level saved only once, everyone who asks for it would wait
-  // for the whole prompt to be read for the rest of the day.
+  // The store restarts empty without being noticed. If a level were saved only once, every later request of it would
+  // wait for the whole prompt to be read.
   it('has a level saved again after a while', t => {
     const levels = SavedLevels.create()
-    t.true(levels.take(1, 0))
-    t.false(levels.take(1, 9_999))
-    t.true(levels.take(1, 10_000))
+    t.true(levels.claimSave(1, 0))
+    t.false(levels.claimSave(1, 9_999))
+    t.true(levels.claimSave(1, 10_000))
   })
 
-  // One instance cannot see the requests of the others. Without a word from them it would save what they have saved.
-  it('leaves to others what they have saved', t => {
+  // An instance cannot see the requests of the others. Without their announcements it would save the same levels.
+  it('does not save levels that other instances have saved', t => {
     const [one, other] = [SavedLevels.create(), SavedLevels.create()]
-    one.take(1, 0)
-    one.confirm(1, 90)
-    other.hear(one.tell(), 500)
-    t.false(other.take(1, 600))
-    t.deepEqual(other.tell(), [], 'only own saves are told')
+    one.claimSave(1, 0)
+    one.confirmSave(1, 90)
+    other.recordAnnounced(one.nextAnnouncement(), 500)
+    t.false(other.claimSave(1, 600))
+    t.deepEqual(other.nextAnnouncement(), [], 'only own saves are announced')
   })
 
-  // Right after a change of weights many requests are refused, those too that were to save the first reading of a
-  // level. Counted as saved, it would be read again by everyone who asks elsewhere.
-  it('has another request save what a refused one was to save', t => {
+  // Right after a change of weights many requests are refused, including those that claimed the first save of a level.
+  // If the level counted as saved, every other engine would have to read it again.
+  it('has another request save the level that a refused one was to save', t => {
     const levels = SavedLevels.create()
-    levels.take(1, 0)
-    t.deepEqual(levels.tell(), [], 'others hear only of what was read')
-    levels.giveBack(1)
-    t.true(levels.take(1, 2))
-    levels.confirm(1, 90)
-    levels.giveBack(1)
-    t.false(levels.take(1, 100), 'an answer that is cut later takes nothing back')
+    levels.claimSave(1, 0)
+    t.deepEqual(levels.nextAnnouncement(), [], 'only levels that were read are announced')
+    levels.releaseSave(1)
+    t.true(levels.claimSave(1, 2))
+    levels.confirmSave(1, 90)
+    levels.releaseSave(1)
+    t.false(levels.claimSave(1, 100), 'an answer that breaks off later does not undo the save')
   })
 
-  // Many distinct prompts must not fill the instance's memory, which would end it.
-  it('forgets what was saved long ago', t => {
+  // Without a bound, many distinct prompts would use up the instance's memory.
+  it('forgets levels that were saved long ago', t => {
     const levels = SavedLevels.create()
     for (let level = 0; level < 1000; level++) {
-      levels.confirm(level, level)
+      levels.confirmSave(level, level)
     }
-    t.is(levels.tell().length, 64, 'a message stays one datagram')
-    const messages = Array.from({ length: 200 }, () => levels.tell())
-    t.deepEqual(messages[199], [], 'nothing is told for ever')
-    t.is(new Set(messages.flat()).size, 1000, 'and everything at least once')
-    levels.confirm(5000, 100_000)
-    t.deepEqual(levels.tell(), [5000])
-    t.true(levels.take(1, 100_000))
+    t.is(levels.nextAnnouncement().length, 64, 'a message fits into one datagram')
+    const messages = Array.from({ length: 200 }, () => levels.nextAnnouncement())
+    t.deepEqual(messages[199], [], 'nothing is announced for ever')
+    t.is(new Set(messages.flat()).size, 1000, 'everything is announced at least once')
+    levels.confirmSave(5000, 100_000)
+    t.deepEqual(levels.nextAnnouncement(), [5000])
+    t.true(levels.claimSave(1, 100_000))
   })
 })
--- a/packages/foxtaillever-policy/src/relay/computedWatchers.ts
+++ b/packages/foxtaillever-policy/src/relay/computedWatchers.ts
@@ -1,28 +1,28 @@
 /**
- * Who keeps the sum of a backend server's load: the instances that rank first
- * for it by rendezvous hashing. All instances compute the same without a word,
- * and the loss of one moves only the servers that it watched to their second.
+ * Assigns each backend server the instances that track its total load: those that
+ * rank first for it by rendezvous hashing. All instances compute the same without
+ * messages, and the loss of an instance moves only its servers, to their standby.
  */
 import { hashNumber } from 'foxtaillever-core'
 import { mixHashes } from '../placement/rendezvous.js'
 
-/** An instance that may watch. */
+/** An instance that may track the load of servers. */
 export interface Watcher {
   readonly address: string
   readonly hash: number
 }
 
-/** A watcher and the one that takes over. */
-const DEFAULT_COUNT = 2
+/** The primary watcher and its standby. */
+const WATCHERS_PER_SERVER = 2
 
-/** The first of a ranking is asked, the next takes over; fewer where there are fewer instances. */
-export function watchersOf (key: number, instances: readonly Watcher[], count = DEFAULT_COUNT): readonly Watcher[] {
+/** A server's watchers in the order of their rank, the primary first; fewer than `count` where there are fewer instances. */
+export function watchersOf (key: number, instances: readonly Watcher[], count = WATCHERS_PER_SERVER): readonly Watcher[] {
   const ranked: Watcher[] = []
   const scores: number[] = []
   for (const watcher of instances) {
     const score = mixHashes(key, watcher.hash)
     if (ranked.length < count || score > (scores[count - 1] as number)) {
-      const place = scores.findIndex(other => score > other)
+      const place = scores.findIndex(rankedScore => score > rankedScore)
       const index = place === -1 ? ranked.length : place
       ranked.splice(index, 0, watcher)
       scores.splice(index, 0, score)
@@ -33,12 +33,12 @@
   return ranked
 }
 
-/** Watchers of servers that are remembered: four times the 670 of the largest fleet, so that replaced ones do not gather. */
-const MOST_REMEMBERED = 2680
+/** Maximum of cached servers: four times the 670 of the largest fleet; the bound keeps replaced servers from piling up. */
+const MAX_CACHED_SERVERS = 2680
 
 /**
- * The watchers of every server, computed when they are first asked for and kept
- * while the members stay the same: they are asked for with each word of load.
+ * The watchers of every server, computed on first use and cached until the members
+ * change, since every load report looks them up.
  */
 export class ComputedWatchers {
   private members: readonly Watcher[] = []
@@ -46,14 +46,14 @@
 
   private constructor (private readonly count: number) {}
 
-  /** @param count instances that a ranking names. */
-  static create (count = DEFAULT_COUNT): ComputedWatchers {
+  /** @param count watchers of each server. */
+  static create (count = WATCHERS_PER_SERVER): ComputedWatchers {
     return new ComputedWatchers(count)
   }
 
   /**
-   * @param addresses of all instances that are likely there, this one included.
-   * @returns whether they are others than before.
+   * @param addresses of all instances that are likely alive, this one included.
+   * @returns whether the members changed.
    */
   setMembers (addresses: readonly string[]): boolean {
     const { members } = this
@@ -70,7 +70,7 @@
   of (server: number): readonly string[] {
     let watchers = this.byServer.get(server)
     if (watchers === undefined) {
-      if (this.byServer.size >= MOST_REMEMBERED) {
+      if (this.byServer.size >= MAX_CACHED_SERVERS) {
         this.byServer.clear()
       }
       watchers = watchersOf(server, this.members, this.count).map(({ address }) => address)
--- a/packages/foxtaillever-policy/src/relay/levelHome.ts
+++ b/packages/foxtaillever-policy/src/relay/levelHome.ts
@@ -1,16 +1,16 @@
 /**
- * Where a shared prompt level is at home: at one store of cached levels, and at
- * engines of the same failure domain as far as those suffice.
+ * Computes the home of a shared prompt level: one store of cached levels, and an
+ * engine of the same failure domain as far as there are enough.
  *
- * With several stores every instance has to look where another had the level
- * saved; the computed home needs no word between them, uses all links, and no
- * store holds what another has. A transfer between failure domains takes both
- * links twice as long: with engines drawn anywhere two in three transfers of
- * three domains are far, and the links carry 1.7 times as much.
+ * With several stores, every instance must find the one to which another instance
+ * had the level saved. A computed home needs no messages, uses all links, and no two
+ * stores keep the same level. A transfer between failure domains takes both links
+ * twice as long: with engines chosen from all of three domains, two in three
+ * transfers cross domains, and the links carry 1.7 times as much.
  */
 import { mixHashes } from '../placement/rendezvous.js'
 
-/** A place that levels may be at home in. */
+/** A server or store that may be the home of levels. */
 export interface HomePlace {
   readonly hash: number
   readonly failureDomain: string
@@ -18,10 +18,10 @@
 
 const HASH_RANGE = 2 ** 32
 
-/** Draws the domain apart from the place; any constant does. */
+/** Makes the choice of the domain independent of the choice within it; any constant does. */
 const DOMAIN_SALT = 0x5bd1e995
 
-/** The place with the highest score for the key; one that comes or goes moves no key of the others. */
+/** The place with the highest score for the key; adding or removing a place moves no key between the others. */
 export function homeOf<Place extends HomePlace> (key: number, places: readonly Place[]): Place | undefined {
   let home: Place | undefined
   let best = -1
@@ -35,7 +35,7 @@
   return home
 }
 
-/** The home among places of the domains; those of another domain only where there is none in these. */
+/** The home among the places of the domains, or among all places if these domains have none. */
 export function homeAmong<Place extends HomePlace> (key: number, domains: ReadonlySet<string> | undefined, places: readonly Place[]): Place | undefined {
   const near = domains ? places.filter(({ failureDomain }) => domains.has(failureDomain)) : places
   return homeOf(key, near.length > 0 ? near : places)
@@ -48,11 +48,11 @@
 }
 
 /**
- * Failure domains whose engines may be home to levels with the key. A domain
- * with a larger part of the stores than of the engines gives the rest of its
- * levels to domains with more engines than stores, so that each engine gets as
- * many levels as any other.
- * @returns undefined when every domain may.
+ * Failure domains whose engines may be the home of levels with the key. A domain
+ * with a larger share of the stores than of the engines passes its surplus of
+ * levels to domains with a larger share of the engines, so that each engine gets
+ * as many levels as any other.
+ * @returns undefined for all domains.
  */
 export function homeDomains (key: number, stores: readonly HomePlace[], engines: readonly HomePlace[]): ReadonlySet<string> | undefined {
   const near = homeOf(key, stores)?.failureDomain
--- a/packages/foxtaillever-policy/src/relay/savedLevels.ts
+++ b/packages/foxtaillever-policy/src/relay/savedLevels.ts
@@ -1,40 +1,40 @@
 /**
- * Which shared prompt levels the store of cached levels got of late.
+ * Which shared prompt levels were recently saved to the store of cached levels.
  *
- * An engine that is told to save sends the whole prompt, the part that no other
- * request will ever use too. With every request saved these parts push the
- * shared levels out of the store within seconds and fill its link, so that
- * fetches wait or find nothing. So a level is saved by the first request that
- * reads it, and again after a while; the instances tell each other which.
+ * An engine that is instructed to save sends the whole prompt, including the part
+ * that no other request will use. If every request were saved, these parts would
+ * evict the shared levels from the store within seconds and fill its link, so that
+ * fetches wait or find nothing. So only the first request that reads a level saves
+ * it, and another one after a while; instances announce their saves to each other.
  */
 
 /**
- * A level is saved again after this, milliseconds: the store may have dropped
- * it or come back empty, and within ten seconds of its last use reading it once
- * more is priced.
+ * A level is saved again after this, milliseconds: the store may have evicted it
+ * or restarted empty, and reading a level again within ten seconds of its last use
+ * has a price.
  */
-const RENEW_MS = 10_000
+const RENEWAL_MS = 10_000
 
 /**
- * Messages in which an own save is told. Where each goes to a third of the
- * instances, 97 in 100 have heard of it by then; where each goes to all, it
- * outlasts the loss of datagrams.
+ * Messages that announce a save of this instance. Where each message goes to a
+ * third of the instances, 97 in 100 receive at least one; where each goes to all,
+ * the repetition makes up for lost datagrams.
  */
-const TIMES_TOLD = 8
+const ANNOUNCEMENTS_PER_SAVE = 8
 
-/** Levels remembered, some 100 bytes each; more are in use only where each is rarely asked for. */
-const MOST_LEVELS = 20_000
+/** Maximum of remembered levels, some 100 bytes each; more are in use only where each is rarely requested. */
+const MAX_LEVELS = 20_000
 
-/** Saves told in one message, so that it stays one datagram. */
-const MOST_TOLD = 64
+/** Maximum of saves announced in one message, so that it fits into one datagram. */
+const MAX_ANNOUNCED_LEVELS = 64
 
 enum SaveState {
-  /** A request of this instance is to save it and has not been answered yet. */
+  /** A request of this instance claimed the save and has not been answered yet. */
   Pending,
-  /** A request of this instance has read it; the engine sends it now. */
+  /** A request of this instance has read the level; the engine is sending it to the store. */
   Own,
-  /** Another instance said so. */
-  Heard
+  /** Another instance announced the save. */
+  Announced
 }
 
 interface Save {
@@ -46,8 +46,8 @@
 export class SavedLevels {
   /** By level; the oldest first. */
   private readonly saves = new Map<number, Save>()
-  /** Own saves, and in how many messages each is yet to be told. */
-  private readonly untold = new Map<number, number>()
+  /** Saves of this instance, and in how many more messages to announce each. */
+  private readonly pendingAnnouncements = new Map<number, number>()
 
   private constructor () {}
 
@@ -55,63 +55,63 @@
     return new SavedLevels()
   }
 
-  /** Whether a level was saved of late, or is about to be. */
-  has (level: number, now: number): boolean {
+  /** Whether a level was saved recently or is about to be. */
+  isSavedRecently (level: number, now: number): boolean {
     const last = this.saves.get(level)
-    return last !== undefined && last.at + RENEW_MS > now
+    return last !== undefined && last.at + RENEWAL_MS > now
   }
 
-  /** Whether a request that reads the level is to save it; if so, others here do not. */
-  take (level: number, now: number): boolean {
-    if (this.has(level, now)) {
+  /** Whether a request that reads the level is to save it; if so, no other request of this instance does. */
+  claimSave (level: number, now: number): boolean {
+    if (this.isSavedRecently(level, now)) {
       return false
     }
-    this.note(level, { at: now, state: SaveState.Pending })
+    this.record(level, { at: now, state: SaveState.Pending })
     return true
   }
 
-  /** Another instance has levels saved. */
-  hear (levels: readonly number[], now: number): void {
-    levels.forEach(level => this.note(level, { at: now, state: SaveState.Heard }))
+  /** Records levels that another instance announced as saved. */
+  recordAnnounced (levels: readonly number[], now: number): void {
+    levels.forEach(level => this.record(level, { at: now, state: SaveState.Announced }))
   }
 
-  /** The request that was to save the level has read it. */
-  confirm (level: number, now: number): void {
-    this.note(level, { at: now, state: SaveState.Own })
-    this.untold.set(level, TIMES_TOLD)
+  /** Records that the request that claimed the save has read the level. */
+  confirmSave (level: number, now: number): void {
+    this.record(level, { at: now, state: SaveState.Own })
+    this.pendingAnnouncements.set(level, ANNOUNCEMENTS_PER_SAVE)
   }
 
-  /** A store restarted empty: what it lacks is saved by the next requests that read it. */
-  forget (): void {
+  /** Forgets all saves when a store restarted empty, so that the next requests that read a level save it again. */
+  clear (): void {
     this.saves.clear()
-    this.untold.clear()
+    this.pendingAnnouncements.clear()
   }
 
-  /** The request that was to save the level failed first. */
-  giveBack (level: number): void {
+  /** Releases the claim of a request that failed before it read the level. */
+  releaseSave (level: number): void {
     if (this.saves.get(level)?.state === SaveState.Pending) {
       this.saves.delete(level)
     }
   }
 
-  /** Own saves for one message to the others; those told least often first. */
-  tell (): number[] {
-    const told = [...this.untold].sort(([, one], [, other]) => other - one).slice(0, MOST_TOLD)
-    for (const [level, times] of told) {
-      if (times > 1) {
-        this.untold.set(level, times - 1)
+  /** Saves of this instance to announce in the next message; the least announced first. */
+  nextAnnouncement (): number[] {
+    const announced = [...this.pendingAnnouncements].sort(([, a], [, b]) => b - a).slice(0, MAX_ANNOUNCED_LEVELS)
+    for (const [level, remaining] of announced) {
+      if (remaining > 1) {
+        this.pendingAnnouncements.set(level, remaining - 1)
       } else {
-        this.untold.delete(level)
+        this.pendingAnnouncements.delete(level)
       }
     }
-    return told.map(([level]) => level)
+    return announced.map(([level]) => level)
   }
 
-  private note (level: number, save: Save): void {
+  private record (level: number, save: Save): void {
     this.saves.delete(level)
     this.saves.set(level, save)
     for (const [oldest, { at }] of this.saves) {
-      if (this.saves.size <= MOST_LEVELS && at + RENEW_MS > save.at) {
+      if (this.saves.size <= MAX_LEVELS && at + RENEWAL_MS > save.at) {
         return
       }
       this.saves.delete(oldest)
--- a/packages/foxtaillever-policy/src/relay/serverLoad.ts
+++ b/packages/foxtaillever-policy/src/relay/serverLoad.ts
@@ -1,61 +1,60 @@
 /**
- * Load of backend servers as told words, and what an old word is still worth.
+ * Load of backend servers from reports, and how much an old report still counts.
  *
- * In a large fleet a word of load is as old as the requests that it speaks of
- * live, or older. Counted whole it shows requests that have ended: homes look
- * busy by chance, and requests leave them for servers that lack their levels.
- * So a word fades towards "as idle as any other", each part at the pace at
- * which it changes.
+ * In a large fleet a load report is as old as the lifetime of the requests that it
+ * counts, or older. At full weight it includes requests that have ended: home
+ * servers look busy by chance, and requests go to servers that lack their levels.
+ * So each figure of a report decays towards zero, at the rate at which it changes.
  */
 
-/** What requests put on one backend server. */
+/** Load of requests on one backend server. */
 export interface ServerLoad {
   readonly outstanding: number
-  /** Prompt tokens that it has yet to read. */
+  /** Prompt tokens that it has not read yet. */
   readonly tokens: number
-  /** Tokens of its memory that they take until they end. */
+  /** Tokens of its memory that the requests occupy until they end. */
   readonly heldTokens: number
 }
 
 export const noLoad: ServerLoad = { outstanding: 0, tokens: 0, heldTokens: 0 }
 
-/** A word on prompts counts half after this, milliseconds: one is read in 30 to 90, with others before it in some hundred. */
+/** Half-life of the reported unread prompts, milliseconds: one is read in 30 to 90, with others before it in some hundred. */
 const UNREAD_HALF_LIFE_MS = 100
 
-/** A word on requests counts half after this, milliseconds: half of them run for less, a large one for 150 to 250, a long one for 600. */
+/** Half-life of the reported requests, milliseconds: half of them run for less, a large one for 150 to 250, a long one for 600. */
 const RUNNING_HALF_LIFE_MS = 400
 
-/** A word in a sample counts half after this, milliseconds: with 24 words a second some ten weigh in. */
+/** Half-life of a report's weight in a sample, milliseconds: with 24 reports a second about ten count. */
 const SAMPLE_HALF_LIFE_MS = 300
 
-function half (ageMs: number, halfLifeMs: number): number {
+function decayFactor (ageMs: number, halfLifeMs: number): number {
   return 0.5 ** (Math.max(0, ageMs) / halfLifeMs)
 }
 
-/** What is left of a word of that age. */
-export function fadeLoad ({ outstanding, tokens, heldTokens }: ServerLoad, ageMs: number): ServerLoad {
-  const running = half(ageMs, RUNNING_HALF_LIFE_MS)
-  return { outstanding: outstanding * running, tokens: tokens * half(ageMs, UNREAD_HALF_LIFE_MS), heldTokens: heldTokens * running }
+/** The load that a report of that age still counts for. */
+export function decayLoad ({ outstanding, tokens, heldTokens }: ServerLoad, ageMs: number): ServerLoad {
+  const running = decayFactor(ageMs, RUNNING_HALF_LIFE_MS)
+  return { outstanding: outstanding * running, tokens: tokens * decayFactor(ageMs, UNREAD_HALF_LIFE_MS), heldTokens: heldTokens * running }
 }
 
-/** The amount that one of many told, and how long ago. */
-export interface SampleWord {
+/** The amount that one of many instances reported, and the report's age. */
+export interface SampleReport {
   readonly amount: number
   readonly ageMs: number
 }
 
 /**
- * The sum over all tellers, from those heard of late: their mean, the newer the
- * weightier, times the number of tellers. The sum of everybody's last word is
- * less noisy, but seconds old where each is heard every few seconds.
+ * Estimates the sum over all reporters from the recent reports: their mean, newer
+ * reports weighted higher, times the number of reporters. The sum of the last report
+ * of each is less noisy, but seconds old where each reports every few seconds.
  */
-export function sampleSum (words: readonly SampleWord[], tellers: number): number {
+export function estimateSum (reports: readonly SampleReport[], reporters: number): number {
   let sum = 0
   let weights = 0
-  for (const { amount, ageMs } of words) {
-    const weight = half(ageMs, SAMPLE_HALF_LIFE_MS)
+  for (const { amount, ageMs } of reports) {
+    const weight = decayFactor(ageMs, SAMPLE_HALF_LIFE_MS)
     sum += weight * amount
     weights += weight
   }
-  return weights === 0 ? 0 : sum / weights * tellers
+  return weights === 0 ? 0 : sum / weights * reporters
 }
--- a/packages/foxtaillever-policy/src/relay/usualTime.ts
+++ b/packages/foxtaillever-policy/src/relay/usualTime.ts
@@ -1,11 +1,11 @@
 /**
- * How long requests of one kind usually wait for the beginning of their answer,
- * over all backend servers that this instance uses. It follows load: where all
- * servers are slow, none of them is called slow.
+ * Moving average of the time until answers to one kind of request begin, over all
+ * backend servers that this instance uses. It follows the load: where all servers
+ * are slow, none of them counts as slow.
  */
 
-/** Part of the distance that one answer moves the estimate: some twenty answers make it new. */
-const GAIN = 0.05
+/** Weight of each new answer in the moving average: it covers about the last twenty answers. */
+const SMOOTHING_FACTOR = 0.05
 
 export class UsualTime {
   private mean: number | undefined
@@ -21,12 +21,12 @@
     return this.mean
   }
 
-  /** How many times the usual this was; undefined before anything is usual. */
+  /** A time as a multiple of the usual time; undefined before the first answer. */
   ratioOf (milliseconds: number): number | undefined {
     return this.mean === undefined || this.mean <= 0 ? undefined : milliseconds / this.mean
   }
 
-  observe (milliseconds: number): void {
-    this.mean = this.mean === undefined ? milliseconds : this.mean + GAIN * (milliseconds - this.mean)
+  addSample (milliseconds: number): void {
+    this.mean = this.mean === undefined ? milliseconds : this.mean + SMOOTHING_FACTOR * (milliseconds - this.mean)
   }
 }
--- a/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
+++ b/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
@@ -132,7 +132,7 @@
       returnAt: service => returns.returnAt(service),
       onMisdirected: () => {}
     }
-    this.retries.observeInstances(1)
+    this.retries.setInstances(1)
     this.runs = ExchangeRuns.create(context)
     const table = RouteTable.create(routing)
     this.callers = CallerServer.create({
--- a/packages/foxtaillever-relay/src/__tests__/serverStatements.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/serverStatements.test.ts
@@ -122,7 +122,7 @@
   // Guards against requests that were placed before the word and sent after it.
   it('gets no request whose connection was still being made, and another server runs it', async t => {
     const rig = await RelayRig.start({}, answerWell, answerWell)
-    rig.onLoadChanged = () => { rig.directory.newestStated('s0')?.observeRest(rig.clock.now() + REST_MS, rig.clock.now()) }
+    rig.onLoadChanged = () => { rig.directory.newestStated('s0')?.recordBackoff(rig.clock.now() + REST_MS, rig.clock.now()) }
     t.regex(await rig.ask('first'), /^HTTP\/1.1 200/)
     t.deepEqual(rig.servers.map(({ arrivals }) => arrivals.length), [0, 1])
     rig.stop()
--- a/packages/foxtaillever-relay/src/attempts/planTerms.ts
+++ b/packages/foxtaillever-relay/src/attempts/planTerms.ts
@@ -2,8 +2,8 @@
 import { hashNumber } from 'foxtaillever-core'
 import type { SavedLevels } from 'foxtaillever-policy/relay/savedLevels'
 import { homeOf } from 'foxtaillever-policy/relay/levelHome'
-import { linkTokens, mayFetch, maySave, transferUntil } from 'foxtaillever-policy/relay/useCacheStore'
-import { isToYield, LAST_PRIORITY, yieldPriority, type ExpectedStart } from 'foxtaillever-policy/relay/yieldPriority'
+import { linkTokens, mayFetch, maySave, transferExpiresAt } from 'foxtaillever-policy/relay/storeLink'
+import { shouldYield, LEAST_URGENT_PRIORITY, yieldPriority, type ExpectedStart } from 'foxtaillever-policy/relay/yieldPriority'
 import type { FetchLoad } from '../cache/fetchLoad.js'
 import type { Exchange, Prompt } from '../model/exchange.js'
 import type { CacheStore, Routing } from '../model/routing.js'
@@ -80,9 +80,9 @@
 
 export function planTerms (exchange: Exchange, server: Pick<KnownServer, 'listed' | 'weights'>, resumeAfter: string, sources: TermsSources): SendTerms {
   const { account, route, deadline } = exchange
-  const priority = Math.min(LAST_PRIORITY, account?.priority ?? route.priority ?? MIDDLE_PRIORITY)
+  const priority = Math.min(LEAST_URGENT_PRIORITY, account?.priority ?? route.priority ?? MIDDLE_PRIORITY)
   const levels = planLevels(exchange, server, sources)
-  const isYielding = exchange.prompt !== undefined && isToYield(expectedStart(exchange, levels.unreadTokens, sources))
+  const isYielding = exchange.prompt !== undefined && shouldYield(expectedStart(exchange, levels.unreadTokens, sources))
   return { ...levels, server: server.listed, deadline, resumeAfter, isYielding, priority: isYielding ? yieldPriority(priority) : priority }
 }
 
@@ -108,12 +108,12 @@
   }
   const level = savedLevelOf(exchange, prompt, weightsVersion, store)
   const isFar = store.failureDomain !== server.listed.failureDomain
-  const link = { tokensOnTheWay: fetchLoad.tokensAt(store.address, now), tokensPerMs: store.linkBytesPerMs / tokenBytes }
+  const link = { tokensInTransit: fetchLoad.tokensAt(store.address, now), tokensPerMs: store.linkBytesPerMs / tokenBytes }
   const isFetched = mayFetch(link)
   // What was saved is found at the server or fetched; what comes after it is read in any case.
-  const isFound = isFetched && savedLevels.has(level, now)
+  const isFound = isFetched && savedLevels.isSavedRecently(level, now)
   const fetchedTokens = isFound ? linkTokens(deepestSharedTokensOf(prompt), isFar) : 0
-  const isSaved = maySave(link) && savedLevels.take(level, now)
+  const isSaved = maySave(link) && savedLevels.claimSave(level, now)
   return {
     cacheSalt,
     weightsVersion,
@@ -121,7 +121,7 @@
     saveTo: isSaved ? store.address : '',
     unreadTokens: isFound ? ownTokensOf(prompt) : prompt.promptTokens,
     fetchedTokens,
-    fetchUntil: transferUntil(link, fetchedTokens, now),
+    fetchUntil: transferExpiresAt(link, fetchedTokens, now),
     savedLevel: isSaved ? level : undefined
   }
 }
--- a/packages/foxtaillever-relay/src/bench/controlCost.ts
+++ b/packages/foxtaillever-relay/src/bench/controlCost.ts
@@ -5,7 +5,7 @@
 import { performance } from 'node:perf_hooks'
 import { hashNumber, SeededRandom, SystemClock } from 'foxtaillever-core'
 import { ComputedWatchers } from 'foxtaillever-policy/relay/computedWatchers'
-import { rankOffers, type PlacementNeed, type ServerOffer } from 'foxtaillever-policy/relay/placeExchange'
+import { rankCandidates, type PlacementNeed, type ServerCandidate } from 'foxtaillever-policy/relay/placeExchange'
 import { unpackDatagram } from '../peers/datagram.js'
 import { FleetUse } from '../peers/fleetUse.js'
 import { encodeLoadMessage, readLoadMessage } from '../peers/loadMessage.js'
@@ -86,7 +86,7 @@
   })
 }
 
-function createOffers (servers: readonly number[]): ServerOffer[] {
+function createOffers (servers: readonly number[]): ServerCandidate[] {
   return servers.map((hash, index) => ({
     id: `server-${index}`,
     hash,
@@ -98,7 +98,7 @@
     heldTokens: 9000,
     memoryTokens: 90_000,
     isRefusing: false,
-    isAbsent: false,
+    isUnreachable: false,
     faultCostMs: 0,
     isChanging: false,
     isOutdated: false,
@@ -177,7 +177,7 @@
   placement: ({ servers }) => {
     const offers = createOffers(servers)
     const random = SeededRandom.create(1)
-    return () => { rankOffers(offers, need, random) }
+    return () => { rankCandidates(offers, need, random) }
   }
 }
 
--- a/packages/foxtaillever-relay/src/cache/__tests__/fetchLoad.test.ts
+++ b/packages/foxtaillever-relay/src/cache/__tests__/fetchLoad.test.ts
@@ -1,5 +1,5 @@
 import { hashNumber } from 'foxtaillever-core'
-import { transferUntil, type StoreLink } from 'foxtaillever-policy/relay/useCacheStore'
+import { transferExpiresAt, type StoreLink } from 'foxtaillever-policy/relay/storeLink'
 import { describe, it } from 'foxtaillever-testing'
 import { FetchLoad } from '../fetchLoad.js'
 
@@ -11,8 +11,8 @@
     const load = FetchLoad.create(() => 0)
     for (let request = 0; request < 100; request++) {
       const now = request * 100
-      const link = { tokensOnTheWay: load.tokensAt('store', now), tokensPerMs: 400 }
-      load.begin('store', 3780, transferUntil(link, 3780, now))
+      const link = { tokensInTransit: load.tokensAt('store', now), tokensPerMs: 400 }
+      load.begin('store', 3780, transferExpiresAt(link, 3780, now))
     }
     t.true(load.tokensAt('store', 10_000) <= 3780, 'the link could carry ten times as much')
     t.is(load.tokensAt('store', 10_200), 0)
@@ -22,9 +22,9 @@
   // More is asked for than the link carries. Each transfer waits for those before it, and must count for as long.
   it('counts transfers that wait for the link until their turn is over, for two seconds at the most', t => {
     const load = FetchLoad.create(() => 0)
-    const link = (): StoreLink => ({ tokensOnTheWay: load.tokensAt('store', 0), tokensPerMs: 10 })
+    const link = (): StoreLink => ({ tokensInTransit: load.tokensAt('store', 0), tokensPerMs: 10 })
     for (let request = 0; request < 10; request++) {
-      load.begin('store', 3780, transferUntil(link(), 3780, 0))
+      load.begin('store', 3780, transferExpiresAt(link(), 3780, 0))
     }
     t.is(load.tokensAt('store', 500), 10 * 3780)
     t.is(load.tokensAt('store', 1900), 8 * 3780)
--- a/packages/foxtaillever-relay/src/cache/__tests__/storeWatch.test.ts
+++ b/packages/foxtaillever-relay/src/cache/__tests__/storeWatch.test.ts
@@ -1,5 +1,5 @@
 import { Failure, FailureCode, Verdict } from 'foxtaillever-core'
-import type { StoreWord } from 'foxtaillever-policy/relay/storeReach'
+import type { StoreReport } from 'foxtaillever-policy/relay/storeReachability'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { Left, Right } from 'purify-ts'
 import { StoreWatch } from '../storeWatch.js'
@@ -16,7 +16,7 @@
   // A store crashes and comes back empty. One look may be lost on a bad link; two in a row say that the store is down.
   it('says that a store fell silent after two looks, and that it restarted', async t => {
     const clock = VirtualClock.create()
-    const changes: StoreWord[] = []
+    const changes: StoreReport[] = []
     const asked: number[] = []
     let incarnation = 7
     let isUp = true
--- a/packages/foxtaillever-relay/src/cache/cacheUse.ts
+++ b/packages/foxtaillever-relay/src/cache/cacheUse.ts
@@ -1,7 +1,7 @@
 /** What an instance knows of the stores of cached levels: what they hold, whether they answer, and how busy their links are. */
 import type { Clock } from 'foxtaillever-core'
 import { SavedLevels } from 'foxtaillever-policy/relay/savedLevels'
-import { StoreReach, type StoreWord } from 'foxtaillever-policy/relay/storeReach'
+import { StoreReachability, type StoreReport } from 'foxtaillever-policy/relay/storeReachability'
 import type { CacheStore } from '../model/routing.js'
 import type { ServerUse } from '../peers/peerMessage.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -11,7 +11,7 @@
 /** What it tells the others. */
 export interface CacheWord {
   readonly savedLevels: readonly number[]
-  readonly stores: readonly StoreWord[]
+  readonly stores: readonly StoreReport[]
 }
 
 export interface CacheUseOptions {
@@ -46,7 +46,7 @@
   readonly savedLevels = SavedLevels.create()
   readonly fetchLoad: FetchLoad
   readonly watch: StoreWatch
-  private readonly reach = StoreReach.create()
+  private readonly reach = StoreReachability.create()
 
   private constructor (private readonly options: CacheUseOptions) {
     const { clock, cacheStoreCalls: calls, othersTokens } = options
@@ -61,7 +61,7 @@
   /** Stores that answer. */
   available (): CacheStore[] {
     const now = this.options.clock.now()
-    return this.options.stores().filter(({ address }) => this.reach.answers(address, now))
+    return this.options.stores().filter(({ address }) => this.reach.isReachable(address, now))
   }
 
   uses (): ServerUse[] {
@@ -71,17 +71,17 @@
   word (): CacheWord {
     const { ownAddress, clock } = this.options
     const stores = this.watch.words()
-    this.reach.hear(ownAddress(), stores, clock.now())
-    return { savedLevels: this.savedLevels.tell(), stores }
+    this.reach.recordReports(ownAddress(), stores, clock.now())
+    return { savedLevels: this.savedLevels.nextAnnouncement(), stores }
   }
 
   hear (instance: string, { savedLevels, stores }: CacheWord): void {
     const now = this.options.clock.now()
-    if (this.reach.hear(instance, stores, now)) {
-      this.savedLevels.forget()
+    if (this.reach.recordReports(instance, stores, now)) {
+      this.savedLevels.clear()
       this.options.onStoreRestarted()
     }
-    this.savedLevels.hear(savedLevels, now)
+    this.savedLevels.recordAnnounced(savedLevels, now)
   }
 
   /** Two instances look at each store, since one may be cut off itself. */
@@ -91,7 +91,7 @@
     return stores().filter(({ hash }) => watchersOf(hash).includes(own))
   }
 
-  private onChanged (word: StoreWord): void {
+  private onChanged (word: StoreReport): void {
     const { ownAddress, log, tellAll } = this.options
     const { store, isSilent, incarnation } = word
     log.belief(isSilent ? 'A store of cached levels does not answer.' : 'A store of cached levels answers.', { store, incarnation })
--- a/packages/foxtaillever-relay/src/cache/levelSupply.ts
+++ b/packages/foxtaillever-relay/src/cache/levelSupply.ts
@@ -36,7 +36,7 @@
     if (known !== undefined) {
       return known
     }
-    const isSaved = caches.savedLevels.has(savedLevelOf(exchange, prompt, version, store), now)
+    const isSaved = caches.savedLevels.isSavedRecently(savedLevelOf(exchange, prompt, version, store), now)
     const tokens = isSaved ? ownTokensOf(prompt) : prompt.promptTokens
     missing.set(version, tokens)
     return tokens
--- a/packages/foxtaillever-relay/src/cache/storeWatch.ts
+++ b/packages/foxtaillever-relay/src/cache/storeWatch.ts
@@ -1,6 +1,6 @@
 /** Looks at the stores of cached levels whose watch falls to this instance, and says what it finds. */
 import type { Cancellation, Clock, Failure } from 'foxtaillever-core'
-import type { StoreWord } from 'foxtaillever-policy/relay/storeReach'
+import type { StoreReport } from 'foxtaillever-policy/relay/storeReachability'
 import type { Either } from 'purify-ts'
 import type { CacheStore } from '../model/routing.js'
 
@@ -32,11 +32,11 @@
   /** Stores that this instance is to look at now. */
   readonly stores: () => readonly CacheStore[]
   /** A store fell silent, answers again or has restarted. */
-  readonly onChanged: (word: StoreWord) => void
+  readonly onChanged: (word: StoreReport) => void
 }
 
 interface Looks {
-  word: StoreWord
+  word: StoreReport
   nextEvent: number
   failures: number
 }
@@ -62,7 +62,7 @@
   }
 
   /** What the others are told with each beat. */
-  words (): StoreWord[] {
+  words (): StoreReport[] {
     return [...this.looks.values()].map(({ word }) => word)
   }
 
--- a/packages/foxtaillever-relay/src/callers/callerServer.ts
+++ b/packages/foxtaillever-relay/src/callers/callerServer.ts
@@ -5,7 +5,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { Failure, FailureCode, type Clock, type Random } from 'foxtaillever-core'
-import { comeBackAt } from 'foxtaillever-policy/relay/comeBack'
+import { earliestRetryTime } from 'foxtaillever-policy/relay/earliestRetryTime'
 import { CallerAnswer } from '../exchange/callerAnswer.js'
 import type { Exchange, ExchangeHead } from '../model/exchange.js'
 import type { CallerLimits } from '../model/routing.js'
@@ -101,7 +101,7 @@
     }
     const routes = table()
     if (!routes) {
-      refuse(Failure.notRun(FailureCode.NoConfiguration, 'No configuration is known yet.', comeBackAt(FailureCode.NoConfiguration, arrivedAt)))
+      refuse(Failure.notRun(FailureCode.NoConfiguration, 'No configuration is known yet.', earliestRetryTime(FailureCode.NoConfiguration, arrivedAt)))
       return
     }
     routes.find(head.host, head.path)
--- a/packages/foxtaillever-relay/src/exchange/exchangeDesk.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDesk.ts
@@ -114,7 +114,7 @@
   /** Instances that share the servers' connections and the retry budget. */
   observeInstances (count: number): void {
     this.instances = count
-    this.retries.observeInstances(count)
+    this.retries.setInstances(count)
     this.directory.observeInstances(count)
   }
 
--- a/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
@@ -4,7 +4,7 @@
  * tries, and what may have run is sent again only where that does no harm.
  */
 import { atAfterReading, Failure, FailureCode, Verdict, type Cancellation } from 'foxtaillever-core'
-import { comeBackAt } from 'foxtaillever-policy/relay/comeBack'
+import { earliestRetryTime } from 'foxtaillever-policy/relay/earliestRetryTime'
 import type { AnswerHead } from '../attempts/attempt.js'
 import { AttemptFailureKind, meaningOf, type AttemptFailure } from '../attempts/attemptFailure.js'
 import { heldTokensOf, type Exchange } from '../model/exchange.js'
@@ -256,7 +256,7 @@
     this.fail(code, message)
   }
 
-  private fail (code: FailureCode, message: string, retryAt = comeBackAt(code, this.now)): void {
+  private fail (code: FailureCode, message: string, retryAt = earliestRetryTime(code, this.now)): void {
     if (this.fallback && !this.answer.hasBegun) {
       this.passOn(this.fallback.head, this.fallback.body)
       return
--- a/packages/foxtaillever-relay/src/exchange/isBetterGivenUp.ts
+++ b/packages/foxtaillever-relay/src/exchange/isBetterGivenUp.ts
@@ -16,5 +16,5 @@
 export function isBetterGivenUp ({ clock, retries }: ExchangeContext, exchange: Exchange, { current, ledger, canContinue, hasBegun }: SilentTry): boolean {
   // One that waits its turn in the engine's queue would only wait again elsewhere.
   const isQueued = exchange.route.isStream && !hasBegun && (!current.isOvertaken || current.isYielding)
-  return !isQueued && isRepeatable(exchange) && canContinue && ledger.hasTriesLeft && retries.canTake(exchange.service, clock.now())
+  return !isQueued && isRepeatable(exchange) && canContinue && ledger.hasTriesLeft && retries.canRetry(exchange.service, clock.now())
 }
--- a/packages/foxtaillever-relay/src/exchange/observeHead.ts
+++ b/packages/foxtaillever-relay/src/exchange/observeHead.ts
@@ -15,7 +15,7 @@
   }
   // A wait for new weights, or for requests that went before it, says nothing of reading.
   if (prompt && status < FIRST_NOT_WELL && !tried.isChanging && !tried.isYielding) {
-    directory.experience.prefillSpeedOf(service).observe(tried.tokensToRead, at - tried.beganAt)
+    directory.experience.prefillSpeedOf(service).addSample(tried.tokensToRead, at - tried.beganAt)
   }
   tried.observeStatus(status, clock.now())
 }
--- a/packages/foxtaillever-relay/src/exchange/openTry.ts
+++ b/packages/foxtaillever-relay/src/exchange/openTry.ts
@@ -38,7 +38,7 @@
     // Nobody else waits for a prompt that yields. Counted, those that gather under overload would make all others yield too.
     this.unreadTokens = terms.isYielding ? 0 : terms.unreadTokens
     server.outstanding += 1
-    server.stated.observeSent(beganAt)
+    server.stated.recordSent(beganAt)
     server.unreadTokens += this.unreadTokens
     this.tokensToRead = server.unreadTokens + options.othersTokens
     server.heldTokens += heldTokens
@@ -93,7 +93,7 @@
     const { terms, server, context } = this.options
     this.release()
     if (terms.savedLevel !== undefined && status < 300) {
-      context.caches.savedLevels.confirm(terms.savedLevel, now)
+      context.caches.savedLevels.confirmSave(terms.savedLevel, now)
       context.onSaved({ level: terms.savedLevel, home: server.hash })
     }
   }
@@ -106,7 +106,7 @@
     server.heldTokens -= heldTokens
     this.release()
     if (terms.savedLevel !== undefined) {
-      context.caches.savedLevels.giveBack(terms.savedLevel)
+      context.caches.savedLevels.releaseSave(terms.savedLevel)
     }
   }
 
--- a/packages/foxtaillever-relay/src/exchange/refusalOf.ts
+++ b/packages/foxtaillever-relay/src/exchange/refusalOf.ts
@@ -1,12 +1,12 @@
 /** Why an exchange ends before any server is asked; undefined where it goes on. */
 import { Failure, FailureCode } from 'foxtaillever-core'
-import { comeBackAt } from 'foxtaillever-policy/relay/comeBack'
+import { earliestRetryTime } from 'foxtaillever-policy/relay/earliestRetryTime'
 import type { Exchange } from '../model/exchange.js'
 import type { Suspicions } from './exchangeContext.js'
 
 export function refusalOf (exchange: Exchange, suspects: Pick<Suspicions, 'isRefused' | 'refusedUntil'>, now: number): Failure | undefined {
   if (exchange.deadline <= now) {
-    return Failure.notRun(FailureCode.DeadlinePassed, 'The deadline passed before the request was read whole.', comeBackAt(FailureCode.DeadlinePassed, now))
+    return Failure.notRun(FailureCode.DeadlinePassed, 'The deadline passed before the request was read whole.', earliestRetryTime(FailureCode.DeadlinePassed, now))
   }
   return suspects.isRefused(exchange, now)
     ? Failure.notRun(FailureCode.Quarantined, 'This request crashed the backend servers that ran it.', suspects.refusedUntil(exchange))
--- a/packages/foxtaillever-relay/src/exchange/tryPlacement.ts
+++ b/packages/foxtaillever-relay/src/exchange/tryPlacement.ts
@@ -73,7 +73,7 @@
       this.giveBack()
     } else if (admission === LimitAdmission.Refused) {
       this.place(asked)
-    } else if (ledger.arrivals > 0 && !context.retries.take(exchange.service, context.clock.now())) {
+    } else if (ledger.arrivals > 0 && !context.retries.tryRetry(exchange.service, context.clock.now())) {
       this.giveBack()
       this.fail(FailureCode.Overloaded, 'The retry budget is used up.')
     } else {
--- a/packages/foxtaillever-relay/src/exchange/watchTry.ts
+++ b/packages/foxtaillever-relay/src/exchange/watchTry.ts
@@ -1,5 +1,5 @@
 /** The watch over one try: how long its server may be silent, by the route's objectives and by what is usual. */
-import { awaitFirstUntil, awaitNextUntil } from 'foxtaillever-policy/relay/silence'
+import { firstEventTimeoutAt, nextEventTimeoutAt } from 'foxtaillever-policy/relay/answerTimeout'
 import type { Exchange } from '../model/exchange.js'
 import type { ExchangeContext } from './exchangeContext.js'
 import { SilenceWatch } from './silenceWatch.js'
@@ -9,8 +9,8 @@
   const usualMs = directory.experience.usualTimeOf(route.name).value
   return SilenceWatch.start({
     clock,
-    firstUntil: awaitFirstUntil({ sentAt, deadline, objectiveMs: route.objectiveMs, usualMs }),
-    nextUntil: heardAt => awaitNextUntil(heardAt, route.pauseObjectiveMs),
+    firstUntil: firstEventTimeoutAt({ sentAt, deadline, objectiveMs: route.objectiveMs, usualMs }),
+    nextUntil: heardAt => nextEventTimeoutAt(heardAt, route.pauseObjectiveMs),
     onSilent
   })
 }
--- a/packages/foxtaillever-relay/src/knowledge/freshness.ts
+++ b/packages/foxtaillever-relay/src/knowledge/freshness.ts
@@ -2,7 +2,7 @@
  * Up to when this instance knows what the platform's store holds, by its own
  * calls or by what others told, and whether the store was down for everyone.
  */
-import { WATCH_SILENCE_MS } from 'foxtaillever-policy/relay/readTurn'
+import { WATCH_SILENCE_MS } from 'foxtaillever-policy/relay/readSchedule'
 
 /** Older than the fleet lets its knowledge become while the store answers anyone, milliseconds. */
 const OUTAGE_MS = 2000
--- a/packages/foxtaillever-relay/src/knowledge/knowledgeOptions.ts
+++ b/packages/foxtaillever-relay/src/knowledge/knowledgeOptions.ts
@@ -1,6 +1,6 @@
 /** What the knowledge of the platform's store is made of. */
 import type { Clock, Random } from 'foxtaillever-core'
-import type { Reader } from 'foxtaillever-policy/relay/readTurn'
+import type { Reader } from 'foxtaillever-policy/relay/readSchedule'
 import type { PeerLink } from '../peers/peerLink.js'
 import type { ReadNotice } from '../peers/readNotice.js'
 import type { ToldTopic } from '../peers/toldTopic.js'
--- a/packages/foxtaillever-relay/src/knowledge/readPlans.ts
+++ b/packages/foxtaillever-relay/src/knowledge/readPlans.ts
@@ -1,6 +1,6 @@
 /** When this instance reads each topic of the platform's store: few read at a time and tell the others. */
 import type { Clock } from 'foxtaillever-core'
-import { nextReadAt, nextWatchAt, placeReader, type Reader, type ReaderPlace } from 'foxtaillever-policy/relay/readTurn'
+import { nextReadAt, nextWatchAt, rankReader, type Reader, type ReaderRank } from 'foxtaillever-policy/relay/readSchedule'
 import { ToldTopic } from '../peers/toldTopic.js'
 import type { Freshness } from './freshness.js'
 import type { TopicFollower, TopicFollowerOptions } from './topicFollower.js'
@@ -70,9 +70,9 @@
     }
   }
 
-  private place (): ReaderPlace {
+  private place (): ReaderRank {
     const { self, readers } = this.options
-    return placeReader(self, readers())
+    return rankReader(self, readers())
   }
 
   private watchAt (): number {
--- a/packages/foxtaillever-relay/src/limits/accountQuotas.ts
+++ b/packages/foxtaillever-relay/src/limits/accountQuotas.ts
@@ -1,7 +1,7 @@
 /** Asks for each exchange whether its client account may use what it costs. */
 import { Failure, FailureCode, type Clock } from 'foxtaillever-core'
 import { LimitOutcome, ReturnOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
-import { comeBackAt } from 'foxtaillever-policy/relay/comeBack'
+import { earliestRetryTime } from 'foxtaillever-policy/relay/earliestRetryTime'
 import type { Exchange } from '../model/exchange.js'
 import { QuotaUnit, type RelayQuota } from '../model/routing.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -71,6 +71,6 @@
   private refusalOf ({ outcome, retryAt }: LimitResult): Failure {
     return outcome === LimitOutcome.Refused
       ? Failure.notRun(FailureCode.AccountOverLimit, 'The client account is over its quota.', retryAt)
-      : Failure.notRun(FailureCode.QuotaUnknown, 'Nobody who decides on the quota of the client account answers.', comeBackAt(FailureCode.QuotaUnknown, this.options.clock.now()))
+      : Failure.notRun(FailureCode.QuotaUnknown, 'Nobody who decides on the quota of the client account answers.', earliestRetryTime(FailureCode.QuotaUnknown, this.options.clock.now()))
   }
 }
--- a/packages/foxtaillever-relay/src/peers/beatContents.ts
+++ b/packages/foxtaillever-relay/src/peers/beatContents.ts
@@ -47,7 +47,7 @@
   parts.suspects.hear(suspects, clock.now())
   desk.caches.hear(address, caches)
   takeWeightsNotice(office, { news: [], lease })
-  speeds.forEach(({ service, ...word }) => desk.directory.experience.prefillSpeedOf(service).hear(word))
+  speeds.forEach(({ service, ...word }) => desk.directory.experience.prefillSpeedOf(service).adoptReport(word))
   named.forEach(news => office.desk.observeNamed(news))
   current.forEach(news => office.desk.observeCurrent(news))
 }
--- a/packages/foxtaillever-relay/src/peers/fleetUse.ts
+++ b/packages/foxtaillever-relay/src/peers/fleetUse.ts
@@ -1,6 +1,6 @@
 /** Load that the other instances put on each backend server, as it was last told. */
 import type { Clock } from 'foxtaillever-core'
-import { fadeLoad, noLoad, sampleSum, type ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
+import { decayLoad, noLoad, estimateSum, type ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
 import type { ServerUse } from './peerMessage.js'
 
 interface Word {
@@ -31,7 +31,7 @@
   of (server: number): ServerLoad {
     const told = this.sums.get(server) ?? noLoad
     const sum = this.watched.get(server)
-    return sum === undefined ? told : add(told, fadeLoad(sum, this.clock.now() - sum.at), 1)
+    return sum === undefined ? told : add(told, decayLoad(sum, this.clock.now() - sum.at), 1)
   }
 
   /**
@@ -42,7 +42,7 @@
   sampledTokens (server: number, others: number): number {
     const now = this.clock.now()
     const words = [...this.byPeer.values()].map(({ uses, at }) => ({ amount: uses.find(use => use.server === server)?.tokens ?? 0, ageMs: now - at }))
-    return sampleSum(words, others)
+    return estimateSum(words, others)
   }
 
   observe (peer: string, uses: readonly ServerUse[]): void {
--- a/packages/foxtaillever-relay/src/peers/loadTalk.ts
+++ b/packages/foxtaillever-relay/src/peers/loadTalk.ts
@@ -129,7 +129,7 @@
 
   /** A store came back empty: nobody is told any more that a level was saved. */
   forgetSaved (): void {
-    this.watch.saved.forget()
+    this.watch.saved.clear()
   }
 
   /** Load of those of the servers that this instance is asked for, to tell everyone. */
@@ -154,7 +154,7 @@
     return {
       loads: servers.map(server => ({ server, ...this.watch.sumOf(server, asker, now) })),
       unreachable: servers.filter(server => this.watch.isUnreachable(server, now)),
-      saved: levels.filter(level => this.watch.saved.has(level, now)),
+      saved: levels.filter(level => this.watch.saved.isSavedRecently(level, now)),
       resting: servers.filter(server => this.watch.isResting(server, now))
     }
   }
@@ -206,7 +206,7 @@
   private takeWord ({ address, loads, unreachable, saved, resting }: LoadWord, now: number): void {
     this.watch.hear(address, loads, now)
     this.watch.hearUnreachable(address, unreachable, now)
-    this.watch.saved.hear(saved, now)
+    this.watch.saved.recordAnnounced(saved, now)
     this.watch.hearResting(resting, now)
   }
 
--- a/packages/foxtaillever-relay/src/peers/peerMessage.ts
+++ b/packages/foxtaillever-relay/src/peers/peerMessage.ts
@@ -1,7 +1,7 @@
 /** What instances tell each other of themselves with each beat, by datagram. */
-import type { SpeedWord } from 'foxtaillever-policy/relay/prefillSpeed'
+import type { SpeedReport } from 'foxtaillever-policy/relay/prefillSpeed'
 import type { ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
-import type { StoreWord } from 'foxtaillever-policy/relay/storeReach'
+import type { StoreReport } from 'foxtaillever-policy/relay/storeReachability'
 import { Maybe } from 'purify-ts'
 import { packDatagram } from './datagram.js'
 
@@ -53,7 +53,7 @@
 }
 
 /** How fast the engines of a service read prompts, as the teller observed. */
-export interface SpeedNews extends SpeedWord {
+export interface SpeedNews extends SpeedReport {
   readonly service: string
 }
 
@@ -93,7 +93,7 @@
   readonly savedLevels: readonly number[]
   readonly current: readonly CurrentEngines[]
   /** What it found at the stores of cached levels that it watches. */
-  readonly stores: readonly StoreWord[]
+  readonly stores: readonly StoreReport[]
   /** Of services of which it has seen enough, for instances that have just started. */
   readonly speeds: readonly SpeedNews[]
   readonly limits: readonly LimitNews[]
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -196,7 +196,7 @@
       onMessage: message => takePeerMessage(this.beatParts(), message),
       ownUses: () => ownUses(this.desk.directory.all()),
       isAskedFor: server => (this.desk.directory.ofHash(server)?.weights.size ?? 0) > 0,
-      onSaved: levels => this.desk.caches.savedLevels.hear(levels, clock.now()),
+      onSaved: levels => this.desk.caches.savedLevels.recordAnnounced(levels, clock.now()),
       onUnreachable: hash => this.desk.hearUnreachable(hash),
       onResting: hash => this.desk.hearResting(hash),
       onPassedOver: peer => this.log.belief('An instance does not answer questions of load; its second is asked.', { peer }),
@@ -236,7 +236,7 @@
       topic: topics.members,
       name,
       address: this.peers.address,
-      onFirstLife: () => this.desk.retries.observeFirstLife(),
+      onFirstLife: () => this.desk.retries.recordFirstStart(),
       onAddresses: addresses => this.meet(addresses),
       isLeaving: () => this.isLeaving
     })
--- a/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
+++ b/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
@@ -147,7 +147,7 @@
     const open = this.directory.ready('s').filter(server => opensAt(server) <= now)
     if (open.length > 0) {
       const server = this.draw(open)
-      server.stated.observeSent(now)
+      server.stated.recordSent(now)
       this.after(this.random.below(CONNECT_MS), () => this.leave(server, now))
     }
     if (now < until) {
--- a/packages/foxtaillever-relay/src/servers/__tests__/serverConnections.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/serverConnections.test.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { SystemClock } from 'foxtaillever-core'
-import { connectionPart } from 'foxtaillever-policy/relay/connectionPart'
+import { connectionShare } from 'foxtaillever-policy/relay/connectionShare'
 import { describe, it } from 'foxtaillever-testing'
 import { callServer } from '../callServer.js'
 import { ServerConnections } from '../serverConnections.js'
@@ -18,7 +18,7 @@
     const server = createServer((_, response) => { response.end('done') })
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
-    const instances = Array.from({ length: INSTANCES }, () => ServerConnections.create({ address, part: connectionPart(MOST_CONNECTIONS, INSTANCES) }))
+    const instances = Array.from({ length: INSTANCES }, () => ServerConnections.create({ address, part: connectionShare(MOST_CONNECTIONS, INSTANCES) }))
     const clock = SystemClock.create()
     const answers = await Promise.all(instances.flatMap(connections => [0, 1].map(async () => await callServer(connections, call, clock, clock.now() + PATIENCE_MS))))
     t.true(answers.every(answer => answer.isRight()))
--- a/packages/foxtaillever-relay/src/servers/knownServer.ts
+++ b/packages/foxtaillever-relay/src/servers/knownServer.ts
@@ -1,7 +1,7 @@
 /** What this instance knows of one start of a backend server. */
 import { hashNumber } from 'foxtaillever-core'
 import { ServerHealth } from 'foxtaillever-policy/relay/serverHealth'
-import type { StatedState } from 'foxtaillever-policy/relay/statedState'
+import type { StatedAvailability } from 'foxtaillever-policy/relay/statedAvailability'
 import type { ListedServer } from '../model/listedServer.js'
 import type { ServerConnections } from './serverConnections.js'
 
@@ -26,7 +26,7 @@
   offset: number
   readonly connections: ServerConnections
   /** What it has stated of itself. */
-  readonly stated: StatedState
+  readonly stated: StatedAvailability
   /** Newest weights version seen of each model, by the list, a report or an answer. */
   readonly weights: Map<string, number>
   /** Requests of this instance that it has not answered yet. */
@@ -55,7 +55,7 @@
 }
 
 /** A start of which nothing is known but its entry and what it has stated already. */
-export function createKnownServer (listed: ListedServer, offset: number, stated: StatedState, connections: ServerConnections): KnownServer {
+export function createKnownServer (listed: ListedServer, offset: number, stated: StatedAvailability, connections: ServerConnections): KnownServer {
   return {
     listed,
     hash: incarnationHash(listed),
--- a/packages/foxtaillever-relay/src/servers/serverChoice.ts
+++ b/packages/foxtaillever-relay/src/servers/serverChoice.ts
@@ -1,6 +1,6 @@
 /** Gives the decision on placement what this instance knows, and takes its answer. */
 import type { Clock, Random } from 'foxtaillever-core'
-import { presentHome, rankOffers, type ServerOffer } from 'foxtaillever-policy/relay/placeExchange'
+import { presentHome, rankCandidates, type ServerCandidate } from 'foxtaillever-policy/relay/placeExchange'
 import { homeAmong, homeDomains } from 'foxtaillever-policy/relay/levelHome'
 import { ownTokensOf, promptKeyOf } from '../attempts/planTerms.js'
 import type { Exchange } from '../model/exchange.js'
@@ -125,7 +125,7 @@
    * The best of some servers first.
    * @param all among which the home of the prompt's levels is.
    */
-  private rank (exchange: Exchange, servers: readonly KnownServer[], all: readonly KnownServer[]): readonly ServerOffer[] {
+  private rank (exchange: Exchange, servers: readonly KnownServer[], all: readonly KnownServer[]): readonly ServerCandidate[] {
     const { directory, random, failureDomain, levelSupply } = this.options
     const supply = levelSupply(exchange)
     const offers = servers.map(server => this.toOffer(server, exchange, supply))
@@ -143,7 +143,7 @@
       fetchWaitMs: supply.waitMs,
       failureDomain
     }
-    return rankOffers(offers, need, random)
+    return rankCandidates(offers, need, random)
   }
 
   /**
@@ -162,7 +162,7 @@
     if (promptKey === undefined) {
       return undefined
     }
-    const places = servers.map(({ idHash, listed, absentUntil }) => ({ hash: idHash, failureDomain: listed.failureDomain, isAbsent: absentUntil > now }))
+    const places = servers.map(({ idHash, listed, absentUntil }) => ({ hash: idHash, failureDomain: listed.failureDomain, isUnreachable: absentUntil > now }))
     return presentHome(promptKey, this.homeDomains(promptKey, directory.ready(service)), places)?.hash
   }
 
@@ -201,7 +201,7 @@
     return outstanding + this.options.use.of(hash).outstanding
   }
 
-  private toOffer (server: KnownServer, exchange: Exchange, supply: LevelSupply): ServerOffer {
+  private toOffer (server: KnownServer, exchange: Exchange, supply: LevelSupply): ServerCandidate {
     const { clock, directory, use } = this.options
     const { listed, unreadTokens, heldTokens, refusedAt, restingForOthersUntil, absentUntil, changingUntil } = server
     const now = clock.now()
@@ -217,7 +217,7 @@
       heldTokens: heldTokens + others.heldTokens,
       memoryTokens: directory.memoryOf(listed.service),
       isRefusing: refusedAt + REFUSING_MS > now || restingForOthersUntil > now,
-      isAbsent: absentUntil > now,
+      isUnreachable: absentUntil > now,
       faultCostMs: directory.experience.faultCostOf(server, now),
       isChanging: changingUntil > now,
       isOutdated: this.isWorthLess(server, exchange),
@@ -227,6 +227,6 @@
 }
 
 /** Whether a request that is sent there may begin at once or wait its turn. */
-function isOpen ({ isAbsent, isChanging, isRefusing }: ServerOffer): boolean {
-  return !isAbsent && !isChanging && !isRefusing
+function isOpen ({ isUnreachable, isChanging, isRefusing }: ServerCandidate): boolean {
+  return !isUnreachable && !isChanging && !isRefusing
 }
--- a/packages/foxtaillever-relay/src/servers/serverConnections.ts
+++ b/packages/foxtaillever-relay/src/servers/serverConnections.ts
@@ -8,7 +8,7 @@
 import { Agent, request, type AgentOptions, type ClientRequest, type IncomingHttpHeaders, type IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
-import type { ConnectionPart } from 'foxtaillever-policy/relay/connectionPart'
+import type { ConnectionShare } from 'foxtaillever-policy/relay/connectionShare'
 
 /** An idle connection is closed after this unless the server says otherwise, milliseconds. */
 const IDLE_TIMEOUT_MS = 4000
@@ -96,7 +96,7 @@
 export interface ServerConnectionsOptions {
   /** IP number and port. */
   readonly address: string
-  readonly part: ConnectionPart
+  readonly part: ConnectionShare
   /** Steady milliseconds. */
   readonly now?: (() => number) | undefined
   /** Asked right before the first byte of a request leaves. */
@@ -155,7 +155,7 @@
   }
 
   /** Other instances came or went, so that this one's part of the server's connections is another. */
-  limit ({ total, idle }: ConnectionPart): void {
+  limit ({ total, idle }: ConnectionShare): void {
     this.agent.maxSockets = total
     this.agent.maxFreeSockets = idle
   }
--- a/packages/foxtaillever-relay/src/servers/serverDirectory.ts
+++ b/packages/foxtaillever-relay/src/servers/serverDirectory.ts
@@ -9,9 +9,9 @@
  * former one, such as a request on its way there, changes only that.
  */
 import type { IncomingHttpHeaders } from 'node:http'
-import { connectionPart, type ConnectionPart } from 'foxtaillever-policy/relay/connectionPart'
+import { connectionShare, type ConnectionShare } from 'foxtaillever-policy/relay/connectionShare'
 import { SETTLED_SAMPLES } from 'foxtaillever-policy/relay/prefillSpeed'
-import { StatedState } from 'foxtaillever-policy/relay/statedState'
+import { StatedAvailability } from 'foxtaillever-policy/relay/statedAvailability'
 import { saysSame, ServerState, type ListedServer } from '../model/listedServer.js'
 import type { Routing } from '../model/routing.js'
 import type { SpeedNews } from '../peers/peerMessage.js'
@@ -37,7 +37,7 @@
   readonly offset: number
   /** Of the newest incarnation that was known. */
   readonly startedAt: number
-  readonly stated: StatedState
+  readonly stated: StatedAvailability
 }
 
 export class ServerDirectory {
@@ -79,8 +79,8 @@
     this.servers.forEach(({ listed, connections }) => connections.limit(this.connectionPart(listed.service)))
   }
 
-  private connectionPart (service: string): ConnectionPart {
-    return connectionPart(this.routing?.services.get(service)?.mostConnections ?? DEFAULT_CONNECTIONS, this.instances)
+  private connectionPart (service: string): ConnectionShare {
+    return connectionShare(this.routing?.services.get(service)?.mostConnections ?? DEFAULT_CONNECTIONS, this.instances)
   }
 
   /**
@@ -96,7 +96,7 @@
     const before = known?.listed
     const server = known ?? this.add(listed, offset)
     if (listed.state === ServerState.Draining) {
-      server.stated.observeLeaving(0)
+      server.stated.recordLeaving(0)
     }
     // An incarnation that said it leaves does not come back.
     server.listed = { ...listed, state: server.stated.isLeaving ? ServerState.Draining : listed.state }
@@ -132,7 +132,7 @@
    * What the newest incarnation known of the id has stated. Whichever a request was meant
    * for, that one answers it: those before had ended.
    */
-  newestStated (id: string): StatedState | undefined {
+  newestStated (id: string): StatedAvailability | undefined {
     return (this.servers.get(id) ?? this.gone.get(id))?.stated
   }
 
@@ -142,7 +142,7 @@
    */
   observeLeaving (id: string, now: number): boolean {
     const server = this.servers.get(id)
-    const isNews = this.newestStated(id)?.observeLeaving(now) === true
+    const isNews = this.newestStated(id)?.recordLeaving(now) === true
     if (server && isNews) {
       const before = server.listed.state
       server.listed = { ...server.listed, state: ServerState.Draining }
@@ -184,12 +184,12 @@
   }
 
   /** What the incarnation has stated already; a later one than was known has stated what was heard since its start. */
-  private statedOf ({ id, startedAt }: ListedServer): StatedState {
+  private statedOf ({ id, startedAt }: ListedServer): StatedAvailability {
     const stated = this.newestStated(id)
     if (stated === undefined) {
-      return StatedState.create()
+      return StatedAvailability.create()
     }
-    return startedAt > this.startOf(id) ? stated.since(startedAt) : stated
+    return startedAt > this.startOf(id) ? stated.sinceStart(startedAt) : stated
   }
 
   /** Nothing is believed of the incarnation any more; requests on their way there end by themselves. */
@@ -205,7 +205,7 @@
       return
     }
     const known = this.servers.get(id)
-    const stated = this.newestStated(id) ?? StatedState.create()
+    const stated = this.newestStated(id) ?? StatedAvailability.create()
     this.gone.set(id, { offset, startedAt: this.startOf(id), stated })
     if (known) {
       const before = known.listed.state
--- a/packages/foxtaillever-relay/src/servers/serverExperience.ts
+++ b/packages/foxtaillever-relay/src/servers/serverExperience.ts
@@ -76,12 +76,12 @@
   observeSuccess (server: KnownServer, route: string, ms: number, now: number): void {
     const usual = this.usualTimeOf(route)
     const ratio = usual.ratioOf(ms)
-    usual.observe(ms)
-    this.observeOutcome(server, health => health.observeGood(now, ratio))
+    usual.addSample(ms)
+    this.observeOutcome(server, health => health.recordSuccess(now, ratio))
   }
 
   observeFault (server: KnownServer, now: number): void {
-    this.observeOutcome(server, health => health.observeBad(now))
+    this.observeOutcome(server, health => health.recordFailure(now))
   }
 
   /**
--- a/packages/foxtaillever-relay/src/servers/serverStatements.ts
+++ b/packages/foxtaillever-relay/src/servers/serverStatements.ts
@@ -37,13 +37,13 @@
       log.saysItLeaves(id, requestId, directory.observeLeaving(id, now))
     }
     if (hasRun) {
-      directory.newestStated(id)?.observeTaken(sentAt)
+      directory.newestStated(id)?.recordAccepted(sentAt)
     }
     restMs
       .ifLeft(text => log.restUnreadable(id, text))
       .ifRight(ms => {
         if (ms > 0) {
-          directory.newestStated(id)?.observeRest(now + ms, now)
+          directory.newestStated(id)?.recordBackoff(now + ms, now)
           onRestAsked(server)
           log.asksForRest(id, requestId, ms)
         }
--- a/packages/foxtaillever-relay/src/weights/__tests__/rollout.test.ts
+++ b/packages/foxtaillever-relay/src/weights/__tests__/rollout.test.ts
@@ -166,7 +166,7 @@
     const fleet = OrderingFleet.create()
     const { clock, engines, instances } = fleet
     const until = clock.now() + 5000
-    instances.forEach(({ directory }) => directory.newestStated('engine-0')?.observeRest(until, clock.now()))
+    instances.forEach(({ directory }) => directory.newestStated('engine-0')?.recordBackoff(until, clock.now()))
     fleet.name(2)
     await clock.advanceTo(until - 1)
     t.deepEqual(engines.versions, [1, 2, 2, 2, 2, 2])
--- a/packages/foxtaillever-relay/src/weights/engineChange.ts
+++ b/packages/foxtaillever-relay/src/weights/engineChange.ts
@@ -6,7 +6,7 @@
  * so that one that comes late does nothing.
  */
 import type { Clock } from 'foxtaillever-core'
-import { LEAST_STEERED_MS, RolloutPhase } from 'foxtaillever-policy/relay/planRollout'
+import { MIN_STEERED_MS, RolloutPhase } from 'foxtaillever-policy/relay/planRollout'
 import type { KnownServer } from '../servers/knownServer.js'
 import { reachableFrom } from '../servers/serverOpening.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -177,7 +177,7 @@
     this.report = report
     this.reportAskedAt = askedAt
     if (this.orderedAt === undefined) {
-      this.lookAt = askedAt + (askedAt < this.steeredAt + LEAST_STEERED_MS ? LEAST_STEERED_MS : STEERED_LOOK_MS)
+      this.lookAt = askedAt + (askedAt < this.steeredAt + MIN_STEERED_MS ? MIN_STEERED_MS : STEERED_LOOK_MS)
       return
     }
     this.lookAt = now + WATCH_MS
