--- a/packages/foxtaillever-policy/src/__tests__/sharedKnowledge.test.ts
+++ b/packages/foxtaillever-policy/src/__tests__/sharedKnowledge.test.ts
@@ -14,28 +14,28 @@
     // instances. With an even share the account is refused at a tenth of its limit.
     it('follows demand, and is even while the peers are silent', t => {
       const share = DemandShare.create()
-      share.observeInstances(2)
-      share.demand('coop', 900, NOW)
+      share.setInstances(2)
+      share.recordDemand('coop', 900, NOW)
       t.is(share.shareFor('coop', NOW), 0.5)
-      share.observePeer('peer', [{ account: 'coop', tokensPerSecond: 20 }], NOW + 3000)
+      share.recordPeerDemand('peer', [{ account: 'coop', tokensPerSecond: 20 }], NOW + 3000)
       t.true(share.shareFor('coop', NOW) > 0.85)
       t.is(share.shareFor('coop', NOW + 3000), 0.5)
     })
 
     it('leaves room for instances that were not heard of', t => {
       const share = DemandShare.create()
-      share.observeInstances(4)
-      share.demand('coop', 900, NOW)
-      share.observePeer('peer', [], NOW + 3000)
+      share.setInstances(4)
+      share.recordDemand('coop', 900, NOW)
+      share.recordPeerDemand('peer', [], NOW + 3000)
       t.is(share.shareFor('coop', NOW), 0.5)
     })
 
     it('tells peers only of accounts near their limit', t => {
       const share = DemandShare.create()
-      share.observeInstances(2)
-      share.demand('coop', 5000, NOW)
-      share.demand('quiet', 5, NOW)
-      t.deepEqual(share.toShare(() => 1000, NOW).map(({ account: name }) => name), ['coop'])
+      share.setInstances(2)
+      share.recordDemand('coop', 5000, NOW)
+      share.recordDemand('quiet', 5, NOW)
+      t.deepEqual(share.demandsToAnnounce(() => 1000, NOW).map(({ account: name }) => name), ['coop'])
     })
   })
 
@@ -43,7 +43,7 @@
     it('refuse until the time they tell', t => {
       const limits = AccountLimits.create(DemandShare.create())
       t.is(limits.check(account, 100, NOW), undefined)
-      limits.take('coop', 3000)
+      limits.recordStart('coop', 3000)
       const refusal = limits.check(account, 100, NOW)
       t.is(refusal?.rule, LimitRule.Tokens)
       t.is(refusal?.failure.code, FailureCode.AccountOverLimit)
@@ -56,10 +56,10 @@
       const limits = AccountLimits.create(DemandShare.create())
       for (let index = 0; index < 4; index += 1) {
         t.is(limits.check(account, 100, NOW), undefined)
-        limits.take('coop', 400)
+        limits.recordStart('coop', 400)
       }
       t.is(limits.check(account, 100, NOW)?.rule, LimitRule.Concurrency)
-      limits.settle('coop', 400, 0)
+      limits.recordEnd('coop', 400, 0)
       t.is(limits.check(account, 100, NOW), undefined)
     })
   })
@@ -69,26 +69,26 @@
     // requests in flight look as if they had crashed it, and none did.
     it('are cleared when the same engine is still there', t => {
       const suspects = SuspectTable.create()
-      suspects.accuse('one', 'server-1', 'a', NOW)
-      suspects.accuse('one', 'server-2', 'b', NOW + 10)
+      suspects.recordLoss('one', 'server-1', 'a', NOW)
+      suspects.recordLoss('one', 'server-2', 'b', NOW + 10)
       t.is(suspects.suspicionOf('one', NOW + 20), Suspicion.Quarantined)
-      suspects.observeIncarnation('server-1', 'a', NOW + 1000, NOW + 1100)
+      suspects.recordIncarnation('server-1', 'a', NOW + 1000, NOW + 1100)
       t.is(suspects.suspicionOf('one', NOW + 1100), Suspicion.Suspect)
-      suspects.observeIncarnation('server-2', 'c', NOW + 1000, NOW + 1100)
+      suspects.recordIncarnation('server-2', 'c', NOW + 1000, NOW + 1100)
       t.is(suspects.suspicionOf('one', NOW + 1100), Suspicion.Suspect)
-      suspects.clear('one', NOW + 1200)
+      suspects.clearSuspicion('one', NOW + 1200)
       t.is(suspects.suspicionOf('one', NOW + 1200), Suspicion.None)
     })
 
     // The caller sends the poison request through another instance each time.
     it('are the same for all instances, in whatever order they hear of them', t => {
       const [one, other] = [SuspectTable.create(), SuspectTable.create()]
-      one.accuse('bad', 'server-1', 'a', NOW)
-      other.accuse('bad', 'server-2', 'b', NOW)
-      const facts = [...one.toShare(NOW), ...other.toShare(NOW)]
-      one.observe(facts, NOW)
-      other.observe([...facts].reverse(), NOW)
-      one.observe(facts, NOW)
+      one.recordLoss('bad', 'server-1', 'a', NOW)
+      other.recordLoss('bad', 'server-2', 'b', NOW)
+      const facts = [...one.factsToAnnounce(NOW), ...other.factsToAnnounce(NOW)]
+      one.receiveFacts(facts, NOW)
+      other.receiveFacts([...facts].reverse(), NOW)
+      one.receiveFacts(facts, NOW)
       t.is(one.suspicionOf('bad', NOW), Suspicion.Quarantined)
       t.is(other.suspicionOf('bad', NOW), Suspicion.Quarantined)
       t.is(one.suspicionOf('bad', NOW + 600_000), Suspicion.None)
--- a/packages/foxtaillever-policy/src/admission/intake.ts
+++ b/packages/foxtaillever-policy/src/admission/intake.ts
@@ -65,13 +65,13 @@
     const tokens = cost.uncachedTokens + cost.completionTokens
     const account = this.accounts[job.account]
     const weight = Math.max(Number.EPSILON, account?.weight ?? 1)
-    this.share.demand(job.account, tokens, now)
+    this.share.recordDemand(job.account, tokens, now)
     const refusal = this.checkModel(job) ?? this.checkSuspect(job, now) ??
       this.checkLimits(account, now) ?? this.checkQueue(job, cost, weight, now)
     if (refusal) {
       return Left(refusal)
     }
-    this.limits.take(job.account, tokens)
+    this.limits.recordStart(job.account, tokens)
     return Right(createEntry(job, cost, weight, now))
   }
 
@@ -85,7 +85,7 @@
 
   /** The job is over; the account gets back what it was charged beyond the tokens used. */
   settle (entry: WaitingJob, usedTokens: number): void {
-    this.limits.settle(entry.job.account, entry.tokens, usedTokens)
+    this.limits.recordEnd(entry.job.account, entry.tokens, usedTokens)
   }
 
   /** Refusal of a job that is taken for the cause of crashes. */
--- a/packages/foxtaillever-policy/src/limits/shareOfLimit.ts
+++ b/packages/foxtaillever-policy/src/limits/shareOfLimit.ts
@@ -2,32 +2,32 @@
  * This instance's share of a client account's limit, which holds over all
  * instances.
  *
- * An even share is wrong: a balancer gives most instances few of an account's
- * requests, so an account would be refused at the busy ones while its limit is
- * half used. Shares follow demand, which instances tell each other as soft
- * state, and only for accounts near their limit; the others cost nothing. The
- * even share is what remains when the peers are silent.
+ * An even share is wrong: a balancer sends most instances few of an account's
+ * requests, so the busy instances would refuse the account while its limit is half
+ * used. Shares follow demand, which instances announce to each other as soft state,
+ * and only for accounts near their limit; the others cost nothing. Without
+ * announcements from peers, the share is even.
  */
 import { DecayingRate } from '../collections/decayingRate.js'
 import { RecentMap } from '../collections/recentMap.js'
 
-/** Demand is a mean over about this time. */
-const DEMAND_FADE_MS = 5000
+/** Demand is a moving average over about this time. */
+const DEMAND_WINDOW_MS = 5000
 
-/** Most accounts told to peers; 64 entries of some 12 bytes a second are 0.8 KB/s. */
-const SHARED_BOUND = 64
+/** Maximum of accounts announced to peers; 64 entries of some 12 bytes a second are 0.8 KB/s. */
+const MAX_ANNOUNCED_ACCOUNTS = 64
 
-/** Accounts known; more than any instance sees in a few seconds. */
-const ACCOUNT_BOUND = 4096
+/** Maximum of known accounts; more than any instance serves in a few seconds. */
+const MAX_ACCOUNTS = 4096
 
-/** Told when the demand here is this much of what an even share would be. */
-const NEAR_LIMIT = 0.5
+/** An account is announced when its demand at this instance exceeds this part of an even share. */
+const NEAR_LIMIT_SHARE = 0.5
 
-/** Part of an even share that is always granted, so that a first request finds some. */
-const LEAST_OF_EVEN = 0.1
+/** Part of an even share that is always granted, so that a first request is not refused. */
+const MIN_SHARE_OF_EVEN = 0.1
 
-/** Sums below this are what rounding leaves, tokens a second. */
-const LEAST_DEMAND = 1e-6
+/** Smaller sums are rounding errors, tokens a second. */
+const MIN_DEMAND = 1e-6
 
 /** Demand of one account at one instance, tokens a second. */
 export interface AccountDemand {
@@ -40,7 +40,7 @@
   shareFor: (account: string, now: number) => number
 }
 
-/** One peer's whole word; an account it does not name has little demand there. */
+/** Last announcement of one peer; an account that it does not contain has little demand there. */
 interface PeerDemand {
   readonly accounts: ReadonlyMap<string, number>
   /** Milliseconds of Unix time. */
@@ -48,10 +48,10 @@
 }
 
 export class DemandShare implements ShareOfLimit {
-  private readonly own = RecentMap.create<DecayingRate>(ACCOUNT_BOUND)
+  private readonly own = RecentMap.create<DecayingRate>(MAX_ACCOUNTS)
   private readonly peers = new Map<string, PeerDemand>()
   /** Sums over the peers, so that a request costs the same with any number of them. */
-  private readonly ofPeers = new Map<string, number>()
+  private readonly peerSums = new Map<string, number>()
   private nextExpiry = Infinity
   private instances = 1
 
@@ -61,23 +61,23 @@
     return new DemandShare()
   }
 
-  /** Takes the number of entry instances, this one included. */
-  observeInstances (count: number): void {
+  /** Sets the number of entry instances, this one included. */
+  setInstances (count: number): void {
     this.instances = Math.max(1, count)
   }
 
-  /** Takes what a peer demands, which replaces what it said before. */
-  observePeer (peer: string, demands: readonly AccountDemand[], expiresAt: number): void {
+  /** Records the demand that a peer announced, which replaces its earlier announcement. */
+  recordPeerDemand (peer: string, demands: readonly AccountDemand[], expiresAt: number): void {
     this.forget(peer)
     const accounts = new Map(demands.map(({ account, tokensPerSecond }) => [account, tokensPerSecond]))
     this.peers.set(peer, { accounts, expiresAt })
-    this.count(accounts, 1)
+    this.addToSums(accounts, 1)
     this.nextExpiry = Math.min(this.nextExpiry, expiresAt)
   }
 
-  /** A request of the account came here, taken in or not. */
-  demand (account: string, tokens: number, now: number): void {
-    const rate = this.own.use(account) ?? DecayingRate.create(DEMAND_FADE_MS)
+  /** Records a request of the account at this instance, accepted or not. */
+  recordDemand (account: string, tokens: number, now: number): void {
+    const rate = this.own.use(account) ?? DecayingRate.create(DEMAND_WINDOW_MS)
     rate.add(tokens, now)
     this.own.set(account, rate)
   }
@@ -85,24 +85,24 @@
   shareFor (account: string, now: number): number {
     this.expire(now)
     const even = 1 / this.instances
-    const heard = this.peers.size
-    if (heard === 0) {
+    const reporting = this.peers.size
+    if (reporting === 0) {
       return even
     }
-    const silent = Math.max(0, this.instances - 1 - heard)
+    const silent = Math.max(0, this.instances - 1 - reporting)
     const own = this.ownDemand(account, now)
-    const others = this.ofPeers.get(account) ?? 0
-    const ofHeard = own + others === 0 ? 1 / (heard + 1) : own / (own + others)
-    return Math.max(even * LEAST_OF_EVEN, ofHeard * (1 - silent * even))
+    const others = this.peerSums.get(account) ?? 0
+    const shareOfReporting = own + others === 0 ? 1 / (reporting + 1) : own / (own + others)
+    return Math.max(even * MIN_SHARE_OF_EVEN, shareOfReporting * (1 - silent * even))
   }
 
-  /** Demand of the accounts near their limit, largest first. */
-  toShare (limitOf: (account: string) => number, now: number): AccountDemand[] {
+  /** Demand of the accounts near their limit, largest first, for the next announcement. */
+  demandsToAnnounce (limitOf: (account: string) => number, now: number): AccountDemand[] {
     return this.own.list()
       .map(([account, rate]) => ({ account, tokensPerSecond: rate.value(now) * 1000 }))
-      .filter(({ account, tokensPerSecond }) => tokensPerSecond > limitOf(account) / this.instances * NEAR_LIMIT)
-      .sort((one, other) => other.tokensPerSecond - one.tokensPerSecond)
-      .slice(0, SHARED_BOUND)
+      .filter(({ account, tokensPerSecond }) => tokensPerSecond > limitOf(account) / this.instances * NEAR_LIMIT_SHARE)
+      .sort((a, b) => b.tokensPerSecond - a.tokensPerSecond)
+      .slice(0, MAX_ANNOUNCED_ACCOUNTS)
   }
 
   private expire (now: number): void {
@@ -120,18 +120,18 @@
   private forget (peer: string): void {
     const known = this.peers.get(peer)
     if (known) {
-      this.count(known.accounts, -1)
+      this.addToSums(known.accounts, -1)
       this.peers.delete(peer)
     }
   }
 
-  private count (accounts: ReadonlyMap<string, number>, sign: 1 | -1): void {
+  private addToSums (accounts: ReadonlyMap<string, number>, sign: 1 | -1): void {
     for (const [account, demand] of accounts) {
-      const sum = (this.ofPeers.get(account) ?? 0) + sign * demand
-      if (sum > LEAST_DEMAND) {
-        this.ofPeers.set(account, sum)
+      const sum = (this.peerSums.get(account) ?? 0) + sign * demand
+      if (sum > MIN_DEMAND) {
+        this.peerSums.set(account, sum)
       } else {
-        this.ofPeers.delete(account)
+        this.peerSums.delete(account)
       }
     }
   }
--- a/packages/foxtaillever-policy/src/limits/tokenBucket.ts
+++ b/packages/foxtaillever-policy/src/limits/tokenBucket.ts
@@ -1,8 +1,8 @@
 /**
- * A rate with a burst: fills steadily up to a bound, and what is taken in goes
- * off it. A request is taken in while anything is left and may leave a debt, so
- * that large requests do not starve behind small ones, nor small behind large.
- * Over any time the sum taken is at most the burst, the rate times that time,
+ * A rate limit with a burst: the bucket fills steadily up to a bound, and each request
+ * takes tokens from it. A request is accepted while any tokens are left and may leave
+ * a debt, so that large requests do not starve behind small ones, nor small behind
+ * large. Over any time the sum taken is at most the burst, the rate times that time,
  * and one request.
  */
 export class TokenBucket {
@@ -18,14 +18,14 @@
     return this.tokens
   }
 
-  /** What came in since it was filled last; a bound that has fallen takes off what lies above it. */
+  /** Adds the tokens since the last fill, up to the bound; tokens above a lowered bound are dropped. */
   fill (perMs: number, most: number, now: number): void {
     this.tokens = Math.min(most, this.tokens + Math.max(0, now - this.filledAt) * perMs)
     this.filledAt = Math.max(this.filledAt, now)
   }
 
-  /** Keeps no more than this, and fills from this instant on, or from when it was filled last where that is later. */
-  beginAnew (most: number, from: number): void {
+  /** Drops tokens above the bound and fills from then on, or from the last fill where that is later. */
+  restart (most: number, from: number): void {
     this.tokens = Math.min(most, this.tokens)
     this.filledAt = Math.max(this.filledAt, from)
   }
@@ -34,13 +34,13 @@
     this.tokens -= tokens
   }
 
-  /** What was taken for nothing. */
-  giveBack (tokens: number): void {
+  /** Puts back tokens that were taken but not used. */
+  refund (tokens: number): void {
     this.tokens += tokens
   }
 
-  /** Milliseconds until something is left again, at this rate. */
-  emptyForMs (perMs: number): number {
+  /** Milliseconds until tokens are left again, at this rate. */
+  msUntilAvailable (perMs: number): number {
     return this.tokens > 0 ? 0 : -this.tokens / perMs
   }
 }
--- a/packages/foxtaillever-policy/src/relay/__tests__/placeExchange.test.ts
+++ b/packages/foxtaillever-policy/src/relay/__tests__/placeExchange.test.ts
@@ -101,7 +101,7 @@
   it('is the same at all instances while the home is unreachable', t => {
     const request = need(42, 'elsewhere')
     const home = placeExchange(createCandidates(), request, SeededRandom.create(1))?.id
-    const unreachable = createCandidates().map(candidate => ({ ...candidate, isAbsent: candidate.id === home }))
+    const unreachable = createCandidates().map(candidate => ({ ...candidate, isUnreachable: candidate.id === home }))
     const chosen = Array.from({ length: 20 }, (_, seed) => placeExchange(unreachable, request, SeededRandom.create(seed))?.id)
     t.is(new Set(chosen).size, 1)
     t.not(chosen[0], home)
@@ -113,12 +113,12 @@
     t.not(placeExchange(refusing, need(42), SeededRandom.create(1))?.id, home)
   })
 
-  // The one that crashed is idle and at home to the levels; requests that go there come back, and the service has no other.
-  it('leaves out a server that nobody listens for, unless there is no other', t => {
+  // A crashed engine looks idle and is the home of the levels: requests sent there fail. Yet it may be the service's only one.
+  it('skips an unreachable server, unless there is no other', t => {
     const home = placeExchange(createCandidates(), need(42), SeededRandom.create(1))?.id
-    const absent = createCandidates().map(candidate => ({ ...candidate, isAbsent: candidate.id === home, outstanding: candidate.id === home ? 0 : 40 }))
+    const absent = createCandidates().map(candidate => ({ ...candidate, isUnreachable: candidate.id === home, outstanding: candidate.id === home ? 0 : 40 }))
     t.not(placeExchange(absent, need(42), SeededRandom.create(1))?.id, home)
-    t.is(placeExchange(absent.filter(({ isAbsent }) => isAbsent), need(42), SeededRandom.create(1))?.id, home)
+    t.is(placeExchange(absent.filter(({ isUnreachable }) => isUnreachable), need(42), SeededRandom.create(1))?.id, home)
   })
 
   it('prefers free slots of a plain service to a queue nearby', t => {
--- a/packages/foxtaillever-policy/src/retries/retryBudget.ts
+++ b/packages/foxtaillever-policy/src/retries/retryBudget.ts
@@ -1,18 +1,18 @@
 /**
- * Retries are paid from a budget that first tries fill.
+ * Retries are paid from a budget that first attempts fill.
  *
- * When a fleet comes back from an outage, every request that failed is tried
- * again, and again: three tries each are three times the load at the moment of
- * least capacity, and the outage goes on by itself. One notices sends many
- * times the callers' requests. With a budget the retries stay a share of first
- * tries, whatever fails.
+ * When a fleet recovers from an outage, every failed request is retried, more than
+ * once: three attempts each are three times the load at the time of least capacity,
+ * and the outage sustains itself. The symptom is many times more attempts than
+ * requests of callers. With a budget, retries stay a share of first attempts,
+ * whatever fails.
  */
 
-/** Saved up at most: the batches of two servers that crash, so that a quiet instance can move them. */
-const MOST_SAVED = 20
+/** Maximum of saved retries: the batches of two servers that crash, so that an instance with little traffic can move them. */
+const MAX_SAVED = 20
 
 export class RetryBudget {
-  private saved = MOST_SAVED
+  private saved = MAX_SAVED
 
   private constructor () {}
 
@@ -24,13 +24,13 @@
     return this.saved
   }
 
-  /** @param share retries allowed for each first try. */
-  addFirstTry (share: number): void {
-    this.saved = Math.min(MOST_SAVED, this.saved + share)
+  /** @param share retries allowed for each first attempt. */
+  addFirstAttempt (share: number): void {
+    this.saved = Math.min(MAX_SAVED, this.saved + share)
   }
 
-  /** Whether one retry is paid for. */
-  take (): boolean {
+  /** Takes one retry from the budget; false when none is left. */
+  tryRetry (): boolean {
     if (this.saved < 1) {
       return false
     }
--- a/packages/foxtaillever-policy/src/scheduler.ts
+++ b/packages/foxtaillever-policy/src/scheduler.ts
@@ -100,7 +100,7 @@
 
   /** Takes a load report; it is late by the engine's lag. */
   observeLoad (server: string, report: LoadReport, now: number): void {
-    this.suspects.observeIncarnation(server, report.incarnation, report.madeAt, now)
+    this.suspects.recordIncarnation(server, report.incarnation, report.madeAt, now)
     this.fleet.observeLoad(server, report, now)
   }
 
@@ -111,29 +111,29 @@
   observeInstances (count: number, index = 0): void {
     this.instances = Math.max(1, count)
     this.placer.observePlace({ index, count: this.instances })
-    this.intake.share.observeInstances(this.instances)
+    this.intake.share.setInstances(this.instances)
     this.fleet.instances = this.instances
     this.setDrainPrior()
   }
 
   /** Takes what a peer said of its accounts' demand; holds until it expires. */
   observeDemand (peer: string, demands: readonly AccountDemand[], expiresAt: number): void {
-    this.intake.share.observePeer(peer, demands, expiresAt)
+    this.intake.share.recordPeerDemand(peer, demands, expiresAt)
   }
 
   /** What to tell peers: demand of the accounts near their limit. */
   demandToShare (now: number): AccountDemand[] {
-    return this.intake.share.toShare(account => this.configuration.accounts[account]?.tokensPerSecond ?? Infinity, now)
+    return this.intake.share.demandsToAnnounce(account => this.configuration.accounts[account]?.tokensPerSecond ?? Infinity, now)
   }
 
   /** Takes what peers know of requests that may crash backend servers. */
   observeSuspects (facts: readonly SuspectFact[], now: number): void {
-    this.suspects.observe(facts, now)
+    this.suspects.receiveFacts(facts, now)
   }
 
   /** What to tell peers: requests that may crash backend servers. */
   suspectsToShare (now: number): SuspectFact[] {
-    return this.suspects.toShare(now)
+    return this.suspects.factsToAnnounce(now)
   }
 
   /** Takes in a job, or refuses it at once. */
@@ -182,7 +182,7 @@
   started (jobId: string, start: StreamStart, now: number): void {
     const attempt = this.attempts.get(jobId)
     if (attempt) {
-      this.suspects.observeIncarnation(attempt.server.name, start.incarnation, now, now)
+      this.suspects.recordIncarnation(attempt.server.name, start.incarnation, now, now)
       this.attempts.started(attempt, start, now)
     }
   }
@@ -203,7 +203,7 @@
     }
     const { entry } = attempt
     this.attempts.finished(attempt, end, now)
-    this.suspects.clear(entry.job.fingerprint, now)
+    this.suspects.clearSuspicion(entry.job.fingerprint, now)
     this.intake.observeEnd(entry, end)
   }
 
@@ -216,7 +216,7 @@
     const { entry, server } = attempt
     this.attempts.failed(attempt, failure, this.preset.ejectedShare, now)
     if (isCrash(failure)) {
-      this.suspects.accuse(entry.job.fingerprint, server.name, attempt.incarnation, now)
+      this.suspects.recordLoss(entry.job.fingerprint, server.name, attempt.incarnation, now)
     }
     const notBefore = this.retryTime(attempt, failure, now)
     if (notBefore === undefined) {
@@ -280,7 +280,7 @@
   }
 
   private takeIn (entry: WaitingJob, now: number): void {
-    this.budget.addFirstTry(this.preset.retryShare)
+    this.budget.addFirstAttempt(this.preset.retryShare)
     this.room.add(entry, now)
   }
 
--- a/packages/foxtaillever-policy/src/suspects/suspectTable.ts
+++ b/packages/foxtaillever-policy/src/suspects/suspectTable.ts
@@ -1,45 +1,45 @@
 /**
  * Requests that may crash the backend server that runs them.
  *
- * Now and then one request crashes each engine that runs it, and its caller
- * sends it again, perhaps through another instance. Each retry takes a server
- * and all that runs there. One notices servers that restart one after another
- * while the same prompt is in flight. So every request in flight at a crash is
- * a suspect: it is tried again with no other suspect beside it, and one seen in
- * a second crash is refused until a stored deadline. Those that finish are
- * cleared. One such request costs two servers.
+ * Now and then a request crashes each engine that runs it, and its caller sends it
+ * again, perhaps through another instance. Each retry takes down a server and all
+ * requests that run there. The symptom is servers that restart one after another
+ * while the same prompt is in flight. So every request in flight at a crash is a
+ * suspect: it is retried without another suspect on the same server, and one in
+ * flight at a second crash is refused until a stored deadline. Suspects that finish
+ * are cleared. Such a request costs two servers.
  *
- * Facts are sets that only grow until they expire, so instances may share them
- * in any order and twice.
+ * Facts are sets that only grow until they expire, so instances may receive them in
+ * any order and more than once.
  */
 import { RecentMap } from '../collections/recentMap.js'
 
-/** Callers resend within seconds; after this a crash says nothing of the next try. */
+/** How long a suspicion lasts, milliseconds: callers resend within seconds, and later attempts are unrelated to the crash. */
 const SUSPECT_MS = 120_000
 
-/** Long enough for an operator to look, short enough that a wrong verdict heals by itself. */
+/** Length of a quarantine, milliseconds: long enough for an operator to investigate, short enough that a wrong one ends by itself. */
 const QUARANTINE_MS = 600_000
 
-/** Crashes that prove it unless said otherwise: co-victims of two crashes are kept apart by then. */
+/** Default of the crashes after which a request is quarantined: by the second crash, suspects of the first were kept apart. */
 const CRASHES_TO_QUARANTINE = 2
 
-const FACT_BOUND = 1024
+const MAX_FACTS = 1024
 
-/** Told to peers at once. */
-const SHARED_BOUND = 64
+/** Maximum of facts announced to peers at once. */
+const MAX_ANNOUNCED_FACTS = 64
 
-/** A report must be this much younger than the loss to disprove a crash; clocks differ. */
+/** A report disproves a crash only when it is this much newer than the loss, milliseconds, since clocks differ. */
 const CLOCK_MARGIN_MS = 500
 
-/** More crashes than this are not needed to prove anything. */
-const MOST_CRASHES = 8
+/** Maximum of crashes kept of one request; more are not needed to quarantine it. */
+const MAX_CRASHES = 8
 
-/** What instances tell each other of one request. */
+/** What instances announce to each other about a request. */
 export interface SuspectFact {
   readonly fingerprint: string
-  /** Crashes it was in flight at, as `server/incarnation`. */
+  /** Crashes during which it was in flight, as `server/incarnation`. */
   readonly crashes: readonly string[]
-  /** Crashes that are known not to be its fault. */
+  /** Those of the crashes that it is known not to have caused. */
   readonly cleared: readonly string[]
   /** Milliseconds of Unix time. */
   readonly expiresAt: number
@@ -59,22 +59,22 @@
   readonly at: number
 }
 
-function guiltOf (fact: SuspectFact): number {
+function countUnclearedCrashes (fact: SuspectFact): number {
   return fact.crashes.filter(crash => !fact.cleared.includes(crash)).length
 }
 
-function union (one: readonly string[], other: readonly string[]): string[] {
-  return [...new Set([...one, ...other])].slice(-MOST_CRASHES)
+function union (a: readonly string[], b: readonly string[]): string[] {
+  return [...new Set([...a, ...b])].slice(-MAX_CRASHES)
 }
 
 export class SuspectTable {
-  private readonly facts = RecentMap.create<SuspectFact>(FACT_BOUND)
-  /** Crashes that this instance saw and that may yet be disproved, by server. */
-  private readonly unproven = new Map<string, Crash>()
+  private readonly facts = RecentMap.create<SuspectFact>(MAX_FACTS)
+  /** Losses that this instance recorded as crashes and that may yet be disproved, by server. */
+  private readonly unconfirmed = new Map<string, Crash>()
 
   private constructor (private readonly crashesToQuarantine: number) {}
 
-  /** @param crashesToQuarantine crashes that prove it. */
+  /** @param crashesToQuarantine crashes after which a request is quarantined. */
   static create (crashesToQuarantine = CRASHES_TO_QUARANTINE): SuspectTable {
     return new SuspectTable(crashesToQuarantine)
   }
@@ -88,17 +88,17 @@
     if (!fact || fact.expiresAt <= now) {
       return Suspicion.None
     }
-    const guilt = guiltOf(fact)
-    if (guilt >= this.crashesToQuarantine) {
+    const uncleared = countUnclearedCrashes(fact)
+    if (uncleared >= this.crashesToQuarantine) {
       return Suspicion.Quarantined
     }
-    return guilt > 0 ? Suspicion.Suspect : Suspicion.None
+    return uncleared > 0 ? Suspicion.Suspect : Suspicion.None
   }
 
-  /** Crashes that speak against it. */
-  guiltOf (fingerprint: string): number {
+  /** Number of crashes that the request may have caused. */
+  unclearedCrashesOf (fingerprint: string): number {
     const fact = this.facts.peek(fingerprint)
-    return fact ? guiltOf(fact) : 0
+    return fact ? countUnclearedCrashes(fact) : 0
   }
 
   /** When the quarantine ends, milliseconds of Unix time. */
@@ -106,49 +106,49 @@
     return this.facts.peek(fingerprint)?.expiresAt ?? 0
   }
 
-  /** The server was lost while it ran the request. */
-  accuse (fingerprint: string, server: string, incarnation: string, now: number): void {
+  /** Records that the server was lost while it ran the request. */
+  recordLoss (fingerprint: string, server: string, incarnation: string, now: number): void {
     const id = `${server}/${incarnation}`
-    this.unproven.set(server, { id, server, incarnation, at: now })
+    this.unconfirmed.set(server, { id, server, incarnation, at: now })
     this.merge({ fingerprint, crashes: [id], cleared: [], expiresAt: now + SUSPECT_MS }, now)
   }
 
-  /** The request ended well: no crash so far was its fault. */
-  clear (fingerprint: string, now: number): void {
+  /** Records that the request succeeded: it caused none of the crashes so far. */
+  clearSuspicion (fingerprint: string, now: number): void {
     const fact = this.facts.peek(fingerprint)
     if (fact) {
       this.merge({ ...fact, cleared: fact.crashes, expiresAt: now + SUSPECT_MS }, now)
     }
   }
 
-  /** The server says, after the loss, which engine runs there: the same one did not crash. */
-  observeIncarnation (server: string, incarnation: string, madeAt: number, now: number): void {
-    const crash = this.unproven.get(server)
+  /** Records a server's report of its incarnation after the loss: if it is still the same, the server did not crash. */
+  recordIncarnation (server: string, incarnation: string, madeAt: number, now: number): void {
+    const crash = this.unconfirmed.get(server)
     if (!crash || madeAt <= crash.at + CLOCK_MARGIN_MS) {
       return
     }
-    this.unproven.delete(server)
+    this.unconfirmed.delete(server)
     if (crash.incarnation === incarnation) {
-      this.disprove(crash.id, now)
+      this.clearCrash(crash.id, now)
     }
   }
 
-  /** The fact of a request, if one is known that still holds. */
+  /** The fact of a request, if one is known that has not expired. */
   factOf (fingerprint: string, now: number): SuspectFact | undefined {
     const fact = this.facts.peek(fingerprint)
     return fact && fact.expiresAt > now ? fact : undefined
   }
 
-  /** Facts for the peers, youngest first. */
-  toShare (now: number): SuspectFact[] {
+  /** Facts to announce to peers, newest first. */
+  factsToAnnounce (now: number): SuspectFact[] {
     return this.facts.list()
       .map(([, fact]) => fact)
       .filter(({ expiresAt }) => expiresAt > now)
       .reverse()
-      .slice(0, SHARED_BOUND)
+      .slice(0, MAX_ANNOUNCED_FACTS)
   }
 
-  observe (facts: readonly SuspectFact[], now: number): void {
+  receiveFacts (facts: readonly SuspectFact[], now: number): void {
     facts.filter(({ expiresAt }) => expiresAt > now).forEach(fact => this.merge(fact, now))
   }
 
@@ -164,12 +164,12 @@
       cleared: union(known.cleared, fact.cleared),
       expiresAt: Math.max(known.expiresAt, fact.expiresAt)
     }
-    const isNewlyProven = guiltOf(known) < this.crashesToQuarantine && guiltOf(merged) >= this.crashesToQuarantine
+    const isNewlyProven = countUnclearedCrashes(known) < this.crashesToQuarantine && countUnclearedCrashes(merged) >= this.crashesToQuarantine
     this.facts.set(fact.fingerprint, isNewlyProven ? { ...merged, expiresAt: Math.max(merged.expiresAt, now + QUARANTINE_MS) } : merged)
   }
 
-  private disprove (crash: string, now: number): void {
-    const accused = this.facts.list().map(([, fact]) => fact).filter(({ crashes }) => crashes.includes(crash))
-    accused.forEach(fact => this.merge({ ...fact, cleared: [crash] }, now))
+  private clearCrash (crash: string, now: number): void {
+    const suspects = this.facts.list().map(([, fact]) => fact).filter(({ crashes }) => crashes.includes(crash))
+    suspects.forEach(fact => this.merge({ ...fact, cleared: [crash] }, now))
   }
 }
--- a/packages/foxtaillever-relay/src/__tests__/limitedServers.test.ts
+++ b/packages/foxtaillever-relay/src/__tests__/limitedServers.test.ts
@@ -1,4 +1,4 @@
-import { LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { describe, it } from 'foxtaillever-testing'
 import { RelayRig } from '../__fixtures__/relayRig.js'
 import { wholeAnswer, type Answer } from '../__fixtures__/scriptedServer.js'
--- a/packages/foxtaillever-relay/src/exchange/crashSuspects.ts
+++ b/packages/foxtaillever-relay/src/exchange/crashSuspects.ts
@@ -53,22 +53,22 @@
 
   /** Whether it was lost at more than one server already, so that this instance does not send it again by itself. */
   isDangerous (exchange: Exchange): boolean {
-    return this.table.size > 0 && this.table.guiltOf(this.digestOf(exchange)) > 1
+    return this.table.size > 0 && this.table.unclearedCrashesOf(this.digestOf(exchange)) > 1
   }
 
   /** The server was lost, or fell silent, while it had the request. */
   accuse (exchange: Exchange, server: string, now: number): void {
     const digest = this.digestOf(exchange)
     this.accusedAt.set(digest, now)
-    this.table.accuse(digest, server, '', now)
+    this.table.recordLoss(digest, server, '', now)
   }
 
   /** The server answered the request whole, to a try that began then. */
   acquit (exchange: Exchange, server: string, beganAt: number, now: number): void {
     if (this.table.size > 0) {
-      this.table.clear(this.digestOf(exchange), now)
+      this.table.clearSuspicion(this.digestOf(exchange), now)
       // A restarted server has another id: this one is still the same.
-      this.table.observeIncarnation(server, '', beganAt, now)
+      this.table.recordIncarnation(server, '', beganAt, now)
     }
   }
 
@@ -80,7 +80,7 @@
       }
     })
     const own = [...this.accusedAt.keys()].flatMap(digest => this.table.factOf(digest, now) ?? []).sort(byGuilt).slice(0, MOST_OWN_TOLD)
-    const others = this.table.toShare(now).filter(fact => !own.includes(fact)).sort(byGuilt)
+    const others = this.table.factsToAnnounce(now).filter(fact => !own.includes(fact)).sort(byGuilt)
     return [...own, ...others]
       .slice(0, MOST_TOLD)
       .map(({ fingerprint, crashes, cleared, expiresAt }) => [fingerprint, crashes.join(), cleared.join(), Math.ceil(expiresAt - now)].join(SEPARATOR))
@@ -88,7 +88,7 @@
 
   /** What another instance tells. */
   hear (told: readonly string[], now: number): void {
-    this.table.observe(told.flatMap(text => readFact(text, now)), now)
+    this.table.receiveFacts(told.flatMap(text => readFact(text, now)), now)
   }
 
   private digestOf (exchange: Exchange): string {
--- a/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
+++ b/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
@@ -1,6 +1,6 @@
 /** Instances that share quotas, over datagrams in memory that get lost, late and doubled, and may be cut; all admissions are kept for an oracle. */
 import { SeededRandom, type Random } from 'foxtaillever-core'
-import { LimitOutcome, type SharedLimit, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { LimitOutcome, type SharedLimit, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { VirtualClock } from 'foxtaillever-testing/virtualClock'
 import { unpackDatagram } from '../../peers/datagram.js'
 import { LimitOwners } from '../limitOwners.js'
--- a/packages/foxtaillever-relay/src/limits/__fixtures__/limitHistory.ts
+++ b/packages/foxtaillever-relay/src/limits/__fixtures__/limitHistory.ts
@@ -1,6 +1,6 @@
 /** A history of a fleet that shares quotas, drawn from a seed: faults, members and limits change while an account sends too much. */
 import { SeededRandom, type Random } from 'foxtaillever-core'
-import type { SharedLimit } from 'foxtaillever-policy/limits/sharedLimitBook'
+import type { SharedLimit } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { LimitFleet, quotas, type LimitSubject, type Node } from './limitFleet.js'
 
 const ACCOUNT = 'acme'
--- a/packages/foxtaillever-relay/src/limits/__tests__/accountQuotas.test.ts
+++ b/packages/foxtaillever-relay/src/limits/__tests__/accountQuotas.test.ts
@@ -1,5 +1,5 @@
 import { PassThrough } from 'node:stream'
-import { LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { Logs } from 'foxtaillever-telemetry'
 import { describe, it } from 'foxtaillever-testing'
 import { plainRoute, RelayRig } from '../../__fixtures__/relayRig.js'
--- a/packages/foxtaillever-relay/src/limits/__tests__/limitProtocol.test.ts
+++ b/packages/foxtaillever-relay/src/limits/__tests__/limitProtocol.test.ts
@@ -1,4 +1,4 @@
-import { LimitOutcome, type SharedLimit } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { LimitOutcome, type SharedLimit } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { allowed, LimitFleet, quotaKind, type Node } from '../__fixtures__/limitFleet.js'
 import { LimitHistory } from '../__fixtures__/limitHistory.js'
--- a/packages/foxtaillever-relay/src/limits/accountQuotas.ts
+++ b/packages/foxtaillever-relay/src/limits/accountQuotas.ts
@@ -1,6 +1,6 @@
 /** Asks for each exchange whether its client account may use what it costs. */
 import { Failure, FailureCode, type Clock } from 'foxtaillever-core'
-import { LimitOutcome, ReturnOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { LimitOutcome, RetryOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { earliestRetryTime } from 'foxtaillever-policy/relay/earliestRetryTime'
 import type { Exchange } from '../model/exchange.js'
 import { QuotaUnit, type RelayQuota } from '../model/routing.js'
@@ -12,7 +12,7 @@
 const MOST_WAIT_MS = 500
 
 export function createQuotaKind (tolerance: LimitTolerance): LimitKind {
-  return { scope: LimitScope.Account, tolerance, returnOrder: ReturnOrder.InTurn, mostWaitMs: MOST_WAIT_MS }
+  return { scope: LimitScope.Account, tolerance, returnOrder: RetryOrder.InTurn, mostWaitMs: MOST_WAIT_MS }
 }
 
 export interface AccountQuotasOptions {
--- a/packages/foxtaillever-relay/src/limits/createLimitProtocols.ts
+++ b/packages/foxtaillever-relay/src/limits/createLimitProtocols.ts
@@ -1,6 +1,6 @@
 /** The limits that an instance shares with the others: quotas of client accounts, and rates that backend servers state. */
 import type { Clock } from 'foxtaillever-core'
-import type { LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
+import type { LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import type { Peers } from '../peers/peers.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import { createQuotaKind } from './accountQuotas.js'
--- a/packages/foxtaillever-relay/src/limits/limitMessage.ts
+++ b/packages/foxtaillever-relay/src/limits/limitMessage.ts
@@ -1,5 +1,5 @@
 /** What instances ask and tell each other about limits that they share, by datagram: arrays by position. */
-import type { SharedLimit, LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitBook'
+import type { SharedLimit, LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { Maybe } from 'purify-ts'
 import { DatagramKind, packDatagram } from '../peers/datagram.js'
 
--- a/packages/foxtaillever-relay/src/limits/limitProtocol.ts
+++ b/packages/foxtaillever-relay/src/limits/limitProtocol.ts
@@ -7,7 +7,7 @@
  */
 import { atAfterSilence, type Cancellation, type Clock } from 'foxtaillever-core'
 import { RecentMap } from 'foxtaillever-policy/collections/recentMap'
-import { SharedLimitBook, LimitOutcome, LimitRole, RENEWAL_MS, type LimitClaim, type LimitTolerance, type ReturnOrder } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { SharedLimitLedger, LimitOutcome, LimitRole, RENEWAL_MS, type LimitClaim, type LimitTolerance, type RetryOrder } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { DatagramKind } from '../peers/datagram.js'
 import { PassedOver, type PassedOverOptions } from '../peers/passedOver.js'
 import { LimitScope, type LimitAnswer, type LimitMessage, type LimitQuestion } from './limitMessage.js'
@@ -49,7 +49,7 @@
 export interface LimitKind {
   readonly scope: LimitScope
   readonly tolerance: LimitTolerance
-  readonly returnOrder: ReturnOrder
+  readonly returnOrder: RetryOrder
   /** Nobody waits for a decision for longer, milliseconds. */
   readonly mostWaitMs: number
 }
@@ -96,7 +96,7 @@
 }
 
 export class LimitProtocol {
-  private readonly book: SharedLimitBook
+  private readonly book: SharedLimitLedger
   private readonly passedOver: PassedOver
   private readonly pending = new Map<number, Pending>()
   private readonly allowances = RecentMap.create<Allowance>(FREE_BOUND)
@@ -105,7 +105,7 @@
   private number = 0
 
   private constructor (private readonly options: LimitProtocolOptions) {
-    this.book = SharedLimitBook.create(options.tolerance, options.returnOrder)
+    this.book = SharedLimitLedger.create(options.tolerance, options.returnOrder)
     this.passedOver = PassedOver.create(options)
   }
 
@@ -135,7 +135,7 @@
     const [owner] = this.ranking(key)
     const { address, scope, send } = this.options
     if (owner === address) {
-      this.book.giveBack(key, cost)
+      this.book.refund(key, cost)
     } else if (owner !== undefined) {
       send(owner, { kind: DatagramKind.LimitReturn, scope, address, key, cost })
     }
@@ -146,14 +146,14 @@
     switch (message.kind) {
       case DatagramKind.LimitQuestion: send(message.address, this.answer(this.convert(message))); break
       case DatagramKind.LimitAnswer: this.hearAnswer(message); break
-      case DatagramKind.LimitReturn: this.book.giveBack(message.key, message.cost); break
+      case DatagramKind.LimitReturn: this.book.refund(message.key, message.cost); break
       case DatagramKind.LimitRenewal:
         // One that has just joined owns the key now, and this instance has to know it.
         this.options.onMet(message.address)
-        this.book.promise(message.key, clock.now())
+        this.book.promiseToHoldBack(message.key, clock.now())
         send(message.address, { ...message, kind: DatagramKind.LimitPromise, address })
         break
-      case DatagramKind.LimitPromise: this.book.observePromise(message.key, message.sentAt); break
+      case DatagramKind.LimitPromise: this.book.recordPromise(message.key, message.sentAt); break
     }
   }
 
@@ -253,7 +253,7 @@
       return
     }
     if (dueAt <= now) {
-      this.book.noteRenewal(key, now)
+      this.book.recordRenewalRequest(key, now)
       send(standby, { kind: DatagramKind.LimitRenewal, scope, address, key, sentAt: now })
     }
     if (!this.renewing.has(key)) {
@@ -274,7 +274,7 @@
     const [, standby] = ranked
     if (standby === undefined) {
       // Alone there is nobody who would have to hold back.
-      this.book.observePromise(key, now)
+      this.book.recordPromise(key, now)
     }
     const role = since === undefined ? LimitRole.None : rolesByRank[ranked.indexOf(address)] ?? LimitRole.None
     const { outcome, retryAt, free } = this.book.decide({ key, limit, cost, isTaken }, role, since ?? now, instances(), now)
--- a/packages/foxtaillever-relay/src/limits/serverLimits.ts
+++ b/packages/foxtaillever-relay/src/limits/serverLimits.ts
@@ -7,7 +7,7 @@
  * so that only their sum shows that it is too much.
  */
 import type { Clock } from 'foxtaillever-core'
-import { LimitOutcome, ReturnOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { LimitOutcome, RetryOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { StatedLimits, type LimitChange, type StatedLimit } from 'foxtaillever-policy/limits/statedLimits'
 import type { Exchange } from '../model/exchange.js'
 import { LimitStatementKind } from '../model/limitStatement.js'
@@ -29,7 +29,7 @@
 /** Nobody waits longer for a decision, milliseconds: other servers may have room. */
 const MOST_WAIT_MS = 100
 
-export const serverLimitKind: LimitKind = { scope: LimitScope.Server, tolerance: TOLERANCE, returnOrder: ReturnOrder.FirstCome, mostWaitMs: MOST_WAIT_MS }
+export const serverLimitKind: LimitKind = { scope: LimitScope.Server, tolerance: TOLERANCE, returnOrder: RetryOrder.FirstCome, mostWaitMs: MOST_WAIT_MS }
 
 /** However little a server takes, it gets so many requests a second: only its answers tell that its need is over. */
 const LEAST_PER_S = 0.25
@@ -105,14 +105,14 @@
   news (): LimitNews[] {
     const { clock, directory } = this.options
     const now = clock.now()
-    return this.stated.toTell(now)
+    return this.stated.statementsToAnnounce(now)
       .filter(({ server }) => directory.ofHash(server) !== undefined)
       .map(({ server, perSecond, at }) => ({ server, perSecond, ageMs: now - at }))
   }
 
   /** Counts a request in the server's limit, and goes on when it is decided. */
   admit (server: KnownServer, exchange: Exchange, go: (admission: LimitAdmission) => void): void {
-    const limit = this.stated.of(server.hash)
+    const limit = this.stated.limitOf(server.hash)
     if (!limit) {
       go(LimitAdmission.Free)
       return
@@ -128,7 +128,7 @@
 
   /** Requests a second that the server takes from all instances together; undefined without a limit. */
   limitOf ({ hash }: KnownServer): number | undefined {
-    const limit = this.stated.of(hash)
+    const limit = this.stated.limitOf(hash)
     return limit && Math.max(LEAST_PER_S, limit.perSecond)
   }
 
@@ -142,7 +142,7 @@
     }
     const pauseMs = result.outcome === LimitOutcome.Refused ? Math.min(Math.max(result.retryAt - now, LEAST_REFUSED_MS), MOST_REFUSED_MS) : UNDECIDED_MS
     // The limit may have ended while the decision was on its way.
-    server.limitedUntil = this.stated.of(server.hash) ? now + pauseMs : 0
+    server.limitedUntil = this.stated.limitOf(server.hash) ? now + pauseMs : 0
     log.serverLimitRefused(exchange, id, limit, result, now)
     return LimitAdmission.Refused
   }
@@ -155,7 +155,7 @@
   }
 
   private learn (server: KnownServer, perSecond: number | undefined, at: number): LimitChange | undefined {
-    const change = this.stated.observe(server.hash, perSecond, at)
+    const change = this.stated.recordStatement(server.hash, perSecond, at)
     if (change) {
       server.limitedUntil = 0
       this.options.log.belief('A backend server states another limit of requests a second.', { server: server.listed.id, perSecond, before: change.before, ageMs: Math.round(this.options.clock.now() - at) })
--- a/packages/foxtaillever-relay/src/relayOptions.ts
+++ b/packages/foxtaillever-relay/src/relayOptions.ts
@@ -1,6 +1,6 @@
 /** What an instance of the relay is made of. */
 import type { Clock, Random } from 'foxtaillever-core'
-import type { LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
+import type { LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import type { RetryAllowance } from 'foxtaillever-policy/relay/retryShare'
 import type { Logs } from 'foxtaillever-telemetry'
 import type { Either } from 'purify-ts'
--- a/packages/foxtaillever-relay/src/servers/serviceReturns.ts
+++ b/packages/foxtaillever-relay/src/servers/serviceReturns.ts
@@ -3,7 +3,7 @@
  * when the first one does, one caller after the other.
  */
 import type { Clock } from 'foxtaillever-core'
-import { ReturnTurns } from 'foxtaillever-policy/limits/returnTurns'
+import { RetrySchedule } from 'foxtaillever-policy/limits/retrySchedule'
 import type { KnownServer } from './knownServer.js'
 import type { ServerDirectory } from './serverDirectory.js'
 import { opensAt } from './serverOpening.js'
@@ -21,7 +21,7 @@
 
 export class ServiceReturns {
   /** By service. */
-  private readonly turns = new Map<string, ReturnTurns>()
+  private readonly turns = new Map<string, RetrySchedule>()
 
   private constructor (private readonly options: ServiceReturnsOptions) {}
 
@@ -39,8 +39,8 @@
       return undefined
     }
     const perSecond = stated.reduce((sum, server) => sum + (limitOf(server) ?? AFTER_REST_PER_S * instances()), 0)
-    const turns = this.turns.get(service) ?? ReturnTurns.create()
+    const turns = this.turns.get(service) ?? RetrySchedule.create()
     this.turns.set(service, turns)
-    return turns.next(Math.min(...stated.map(opensAt)), instances() * 1000 / perSecond, now)
+    return turns.nextRetryAt(Math.min(...stated.map(opensAt)), instances() * 1000 / perSecond, now)
   }
 }
--- a/packages/foxtaillever-relay/src/telemetry/relayLog.ts
+++ b/packages/foxtaillever-relay/src/telemetry/relayLog.ts
@@ -3,7 +3,7 @@
  * changes what the process believes, and the figures that go with them.
  */
 import { Verdict, type Failure } from 'foxtaillever-core'
-import type { LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitBook'
+import type { LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import type { StatedLimit } from 'foxtaillever-policy/limits/statedLimits'
 import type { ExpectedStart } from 'foxtaillever-policy/relay/yieldPriority'
 import { Metrics, Part, type Logs, type Subject } from 'foxtaillever-telemetry'
