--- a/packages/foxtaillever-policy/src/relay/placeExchange.ts
+++ b/packages/foxtaillever-policy/src/relay/placeExchange.ts
@@ -75,14 +75,14 @@
 /** Delay of the first token for each request already running, milliseconds. */
 const REQUEST_COST_MS = 2
 
-/** Share of requests that find their level cached and need not wait for the store's link. */
+/** Share of requests that find their level cached at its home and need not wait for the store's link. */
 const FOUND_AT_HOME_SHARE = 0.5
 
 /**
- * Share of requests that find a level in its store although this instance does not know that it
+ * Share of requests that find a level at its home although this instance does not know that it
  * was saved: it was saved more than ten seconds ago, or before this instance started.
  */
-const FOUND_ELSEWHERE_SHARE = 0.4
+const FOUND_UNRECORDED_SHARE = 0.4
 
 /** Maximum cost of waiting for the store's link, milliseconds: reading a level again costs more than an answer in time earns. */
 const MAX_LINK_WAIT_MS = 250
@@ -128,7 +128,7 @@
   const isKept = missingTokens < promptTokens
   return isKept
     ? pace.fetchMs + Math.min(MAX_LINK_WAIT_MS, fetchWaitMs * FOUND_AT_HOME_SHARE)
-    : Math.max(pace.fetchMs, FOUND_ELSEWHERE_SHARE * sharedTokens / pace.tokensPerMs)
+    : Math.max(pace.fetchMs, FOUND_UNRECORDED_SHARE * sharedTokens / pace.tokensPerMs)
 }
 
 /** Cost of a request without a prompt, milliseconds. */
