--- a/packages/foxtaillever-policy/src/__tests__/sharedKnowledge.test.ts
+++ b/packages/foxtaillever-policy/src/__tests__/sharedKnowledge.test.ts
@@ -15,28 +15,28 @@
     // limit.
     it('follows demand, and is even while no peer has announced its demand', t => {
       const share = DemandShare.create()
-      share.observeInstances(2)
-      share.demand('coop', 900, NOW)
+      share.setInstances(2)
+      share.recordDemand('coop', 900, NOW)
       t.is(share.shareFor('coop', NOW), 0.5)
-      share.observePeer('peer', [{ account: 'coop', tokensPerSecond: 20 }], NOW + 3000)
+      share.recordPeerDemand('peer', [{ account: 'coop', tokensPerSecond: 20 }], NOW + 3000)
       t.true(share.shareFor('coop', NOW) > 0.85)
       t.is(share.shareFor('coop', NOW + 3000), 0.5)
     })
 
     it('leaves room for instances that have not announced their demand', t => {
       const share = DemandShare.create()
-      share.observeInstances(4)
-      share.demand('coop', 900, NOW)
-      share.observePeer('peer', [], NOW + 3000)
+      share.setInstances(4)
+      share.recordDemand('coop', 900, NOW)
+      share.recordPeerDemand('peer', [], NOW + 3000)
       t.is(share.shareFor('coop', NOW), 0.5)
     })
 
     it('is announced to peers only for accounts near their limit', t => {
       const share = DemandShare.create()
-      share.observeInstances(2)
-      share.demand('coop', 5000, NOW)
-      share.demand('quiet', 5, NOW)
-      t.deepEqual(share.toShare(() => 1000, NOW).map(({ account: name }) => name), ['coop'])
+      share.setInstances(2)
+      share.recordDemand('coop', 5000, NOW)
+      share.recordDemand('quiet', 5, NOW)
+      t.deepEqual(share.demandsToAnnounce(() => 1000, NOW).map(({ account: name }) => name), ['coop'])
     })
   })
 
@@ -44,7 +44,7 @@
     it('refuse until the stated retry time', t => {
       const limits = AccountLimits.create(DemandShare.create())
       t.is(limits.check(account, 100, NOW), undefined)
-      limits.take('coop', 3000)
+      limits.recordStart('coop', 3000)
       const refusal = limits.check(account, 100, NOW)
       t.is(refusal?.rule, LimitRule.Tokens)
       t.is(refusal?.failure.code, FailureCode.AccountOverLimit)
@@ -57,10 +57,10 @@
       const limits = AccountLimits.create(DemandShare.create())
       for (let index = 0; index < 4; index += 1) {
         t.is(limits.check(account, 100, NOW), undefined)
-        limits.take('coop', 400)
+        limits.recordStart('coop', 400)
       }
       t.is(limits.check(account, 100, NOW)?.rule, LimitRule.Concurrency)
-      limits.settle('coop', 400, 0)
+      limits.recordEnd('coop', 400, 0)
       t.is(limits.check(account, 100, NOW), undefined)
     })
   })
@@ -70,26 +70,26 @@
     // in flight look as if they had crashed the servers, but none did.
     it('are cleared when the same engine is still running', t => {
       const suspects = SuspectTable.create()
-      suspects.accuse('one', 'server-1', 'a', NOW)
-      suspects.accuse('one', 'server-2', 'b', NOW + 10)
+      suspects.recordLoss('one', 'server-1', 'a', NOW)
+      suspects.recordLoss('one', 'server-2', 'b', NOW + 10)
       t.is(suspects.suspicionOf('one', NOW + 20), Suspicion.Quarantined)
-      suspects.observeIncarnation('server-1', 'a', NOW + 1000, NOW + 1100)
+      suspects.recordIncarnation('server-1', 'a', NOW + 1000, NOW + 1100)
       t.is(suspects.suspicionOf('one', NOW + 1100), Suspicion.Suspect)
-      suspects.observeIncarnation('server-2', 'c', NOW + 1000, NOW + 1100)
+      suspects.recordIncarnation('server-2', 'c', NOW + 1000, NOW + 1100)
       t.is(suspects.suspicionOf('one', NOW + 1100), Suspicion.Suspect)
-      suspects.clear('one', NOW + 1200)
+      suspects.clearSuspicion('one', NOW + 1200)
       t.is(suspects.suspicionOf('one', NOW + 1200), Suspicion.None)
     })
 
     // The caller sends the crashing request through another instance each time.
     it('are the same for all instances, in whatever order they receive the facts', t => {
       const [first, second] = [SuspectTable.create(), SuspectTable.create()]
-      first.accuse('bad', 'server-1', 'a', NOW)
-      second.accuse('bad', 'server-2', 'b', NOW)
-      const facts = [...first.toShare(NOW), ...second.toShare(NOW)]
-      first.observe(facts, NOW)
-      second.observe([...facts].reverse(), NOW)
-      first.observe(facts, NOW)
+      first.recordLoss('bad', 'server-1', 'a', NOW)
+      second.recordLoss('bad', 'server-2', 'b', NOW)
+      const facts = [...first.factsToAnnounce(NOW), ...second.factsToAnnounce(NOW)]
+      first.receiveFacts(facts, NOW)
+      second.receiveFacts([...facts].reverse(), NOW)
+      first.receiveFacts(facts, NOW)
       t.is(first.suspicionOf('bad', NOW), Suspicion.Quarantined)
       t.is(second.suspicionOf('bad', NOW), Suspicion.Quarantined)
       t.is(first.suspicionOf('bad', NOW + 600_000), Suspicion.None)
--- a/packages/foxtaillever-policy/src/scheduler.ts
+++ b/packages/foxtaillever-policy/src/scheduler.ts
@@ -100,7 +100,7 @@
 
   /** Applies a load report, which is delayed by the engine's lag. */
   applyLoadReport (server: string, report: LoadReport, now: number): void {
-    this.suspects.observeIncarnation(server, report.incarnation, report.madeAt, now)
+    this.suspects.recordIncarnation(server, report.incarnation, report.madeAt, now)
     this.fleet.applyLoadReport(server, report, now)
   }
 
@@ -111,29 +111,29 @@
   setInstances (count: number, index = 0): void {
     this.instances = Math.max(1, count)
     this.placer.setInstancePosition({ index, count: this.instances })
-    this.intake.share.observeInstances(this.instances)
+    this.intake.share.setInstances(this.instances)
     this.fleet.instances = this.instances
     this.updateDrainPrior()
   }
 
   /** Applies the demand that a peer announced for its accounts; valid until it expires. */
   applyPeerDemand (peer: string, demands: readonly AccountDemand[], expiresAt: number): void {
-    this.intake.share.observePeer(peer, demands, expiresAt)
+    this.intake.share.recordPeerDemand(peer, demands, expiresAt)
   }
 
   /** Demand to announce to peers, for accounts near their limit. */
   demandToAnnounce (now: number): AccountDemand[] {
-    return this.intake.share.toShare(account => this.configuration.accounts[account]?.tokensPerSecond ?? Infinity, now)
+    return this.intake.share.demandsToAnnounce(account => this.configuration.accounts[account]?.tokensPerSecond ?? Infinity, now)
   }
 
   /** Applies facts from peers about requests that may crash backend servers. */
   applySuspects (facts: readonly SuspectFact[], now: number): void {
-    this.suspects.observe(facts, now)
+    this.suspects.receiveFacts(facts, now)
   }
 
   /** Facts to announce to peers about requests that may crash backend servers. */
   suspectsToAnnounce (now: number): SuspectFact[] {
-    return this.suspects.toShare(now)
+    return this.suspects.factsToAnnounce(now)
   }
 
   /** Accepts a job, or refuses it at once. */
@@ -182,7 +182,7 @@
   recordStart (jobId: string, start: StreamStart, now: number): void {
     const attempt = this.attempts.get(jobId)
     if (attempt) {
-      this.suspects.observeIncarnation(attempt.server.name, start.incarnation, now, now)
+      this.suspects.recordIncarnation(attempt.server.name, start.incarnation, now, now)
       this.attempts.recordStart(attempt, start, now)
     }
   }
@@ -203,7 +203,7 @@
     }
     const { entry } = attempt
     this.attempts.recordFinish(attempt, end, now)
-    this.suspects.clear(entry.job.fingerprint, now)
+    this.suspects.clearSuspicion(entry.job.fingerprint, now)
     this.intake.recordEnd(entry, end)
   }
 
@@ -216,7 +216,7 @@
     const { entry, server } = attempt
     this.attempts.recordFailure(attempt, failure, this.preset.ejectedShare, now)
     if (isCrash(failure)) {
-      this.suspects.accuse(entry.job.fingerprint, server.name, attempt.incarnation, now)
+      this.suspects.recordLoss(entry.job.fingerprint, server.name, attempt.incarnation, now)
     }
     const notBefore = this.decideRetryTime(attempt, failure, now)
     if (notBefore === undefined) {
@@ -280,7 +280,7 @@
   }
 
   private addJob (entry: WaitingJob, now: number): void {
-    this.budget.addFirstTry(this.preset.retryShare)
+    this.budget.addFirstAttempt(this.preset.retryShare)
     this.waitingJobs.addJob(entry, now)
   }
 
--- a/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
+++ b/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
@@ -23,7 +23,7 @@
 import { noQuotas } from '../limits/accountQuotas.js'
 import { ServerDirectory } from '../servers/serverDirectory.js'
 import { availableFrom } from '../servers/serverAvailability.js'
-import { RetrySchedule } from '../servers/retrySchedule.js'
+import { ServiceRetrySchedules } from '../servers/serviceRetrySchedules.js'
 import { ServerStatementHandler } from '../servers/serverStatementHandler.js'
 import { RelayLog } from '../telemetry/relayLog.js'
 import { ScriptedServer, type Answer } from './scriptedServer.js'
@@ -106,7 +106,7 @@
     const log = RelayLog.create(Logs.create({ instance: 'i', level: 'silent', clock, destination: new PassThrough() }))
     this.limits = ServerLimits.create({ clock, log, directory: this.directory, protocol: () => this.limitProtocol, onUrgent: () => {} })
     this.statements = ServerStatementHandler.create({ clock, log, directory: this.directory, limits: this.limits, onBackoffRequested: () => {} })
-    const retrySchedule = RetrySchedule.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => 1 })
+    const retrySchedules = ServiceRetrySchedules.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => 1 })
     const context: ExchangeContext = {
       clock,
       connectTimeoutMs: 200,
@@ -129,10 +129,10 @@
       onUnreachable: ({ listed }) => { this.unreachable.push(listed.id) },
       queryLoad: () => undefined,
       place: (_, { failed }) => this.directory.ready('s').find(server => !failed.has(server.listed.id) && availableFrom(server) <= clock.now()),
-      earliestRetryAt: service => retrySchedule.nextRetryAt(service),
+      earliestRetryAt: service => retrySchedules.nextRetryAt(service),
       onMisdirected: () => {}
     }
-    this.retries.observeInstances(1)
+    this.retries.setInstances(1)
     this.runs = ExchangeRuns.create(context)
     const table = RouteTable.create(routing)
     this.callers = CallerServer.create({
--- a/packages/foxtaillever-relay/src/cache/__tests__/fetchLoad.test.ts
+++ b/packages/foxtaillever-relay/src/cache/__tests__/fetchLoad.test.ts
@@ -1,5 +1,5 @@
 import { hashNumber } from 'foxtaillever-core'
-import { transferUntil, type StoreLink } from 'foxtaillever-policy/relay/useCacheStore'
+import { transferExpiresAt, type StoreLink } from 'foxtaillever-policy/relay/storeLink'
 import { describe, it } from 'foxtaillever-testing'
 import { FetchLoad } from '../fetchLoad.js'
 
@@ -11,8 +11,8 @@
     const load = FetchLoad.create(() => 0)
     for (let request = 0; request < 100; request++) {
       const now = request * 100
-      const link = { tokensOnTheWay: load.tokensInTransit('store', now), tokensPerMs: 400 }
-      load.beginTransfer('store', 3780, transferUntil(link, 3780, now))
+      const link = { tokensInTransit: load.tokensInTransit('store', now), tokensPerMs: 400 }
+      load.beginTransfer('store', 3780, transferExpiresAt(link, 3780, now))
     }
     t.true(load.tokensInTransit('store', 10_000) <= 3780, 'the link could transfer ten times as much')
     t.is(load.tokensInTransit('store', 10_200), 0)
@@ -22,9 +22,9 @@
   // More is requested than the link can transfer. Each transfer waits for those before it and must count while it waits.
   it('counts transfers that wait for the link until they are complete, for at most two seconds', t => {
     const load = FetchLoad.create(() => 0)
-    const link = (): StoreLink => ({ tokensOnTheWay: load.tokensInTransit('store', 0), tokensPerMs: 10 })
+    const link = (): StoreLink => ({ tokensInTransit: load.tokensInTransit('store', 0), tokensPerMs: 10 })
     for (let request = 0; request < 10; request++) {
-      load.beginTransfer('store', 3780, transferUntil(link(), 3780, 0))
+      load.beginTransfer('store', 3780, transferExpiresAt(link(), 3780, 0))
     }
     t.is(load.tokensInTransit('store', 500), 10 * 3780)
     t.is(load.tokensInTransit('store', 1900), 8 * 3780)
--- a/packages/foxtaillever-relay/src/cache/__tests__/storeMonitor.test.ts
+++ b/packages/foxtaillever-relay/src/cache/__tests__/storeMonitor.test.ts
@@ -1,5 +1,5 @@
 import { Failure, FailureCode, Verdict } from 'foxtaillever-core'
-import type { StoreWord } from 'foxtaillever-policy/relay/storeReach'
+import type { StoreReport } from 'foxtaillever-policy/relay/storeReachability'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { Left, Right } from 'purify-ts'
 import { StoreMonitor } from '../storeMonitor.js'
@@ -16,7 +16,7 @@
   // A store crashes and restarts empty. One poll may be lost on a bad link; two failures in a row mean that the store is down.
   it('reports that a store became silent after two failed polls, and that it restarted', async t => {
     const clock = VirtualClock.create()
-    const changes: StoreWord[] = []
+    const changes: StoreReport[] = []
     const polled: number[] = []
     let incarnation = 7
     let isUp = true
--- a/packages/foxtaillever-relay/src/cache/cacheStoreTracker.ts
+++ b/packages/foxtaillever-relay/src/cache/cacheStoreTracker.ts
@@ -1,7 +1,7 @@
 /** Tracks the stores of cached levels: which levels they hold, whether they answer, and how busy their links are. */
 import type { Clock } from 'foxtaillever-core'
 import { SavedLevels } from 'foxtaillever-policy/relay/savedLevels'
-import { StoreReach, type StoreWord } from 'foxtaillever-policy/relay/storeReach'
+import { StoreReachability, type StoreReport } from 'foxtaillever-policy/relay/storeReachability'
 import type { CacheStore } from '../model/routing.js'
 import type { ServerUse } from '../peers/peerMessage.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -11,7 +11,7 @@
 /** What an instance reports about the stores to the other instances. */
 export interface CacheReport {
   readonly savedLevels: readonly number[]
-  readonly stores: readonly StoreWord[]
+  readonly stores: readonly StoreReport[]
 }
 
 export interface CacheStoreTrackerOptions {
@@ -46,7 +46,7 @@
   readonly savedLevels = SavedLevels.create()
   readonly fetchLoad: FetchLoad
   readonly monitor: StoreMonitor
-  private readonly reach = StoreReach.create()
+  private readonly reach = StoreReachability.create()
 
   private constructor (private readonly options: CacheStoreTrackerOptions) {
     const { clock, cacheStoreCalls: calls, othersTokens } = options
@@ -61,7 +61,7 @@
   /** Stores that answer. */
   available (): CacheStore[] {
     const now = this.options.clock.now()
-    return this.options.stores().filter(({ address }) => this.reach.answers(address, now))
+    return this.options.stores().filter(({ address }) => this.reach.isReachable(address, now))
   }
 
   /** The load of this instance on the links of the stores. */
@@ -72,17 +72,17 @@
   createReport (): CacheReport {
     const { ownAddress, clock } = this.options
     const stores = this.monitor.reports()
-    this.reach.hear(ownAddress(), stores, clock.now())
-    return { savedLevels: this.savedLevels.tell(), stores }
+    this.reach.recordReports(ownAddress(), stores, clock.now())
+    return { savedLevels: this.savedLevels.nextAnnouncement(), stores }
   }
 
   applyReport (instance: string, { savedLevels, stores }: CacheReport): void {
     const now = this.options.clock.now()
-    if (this.reach.hear(instance, stores, now)) {
-      this.savedLevels.forget()
+    if (this.reach.recordReports(instance, stores, now)) {
+      this.savedLevels.clear()
       this.options.onStoreRestarted()
     }
-    this.savedLevels.hear(savedLevels, now)
+    this.savedLevels.recordAnnounced(savedLevels, now)
   }
 
   /** Stores that this instance polls. Two instances poll each store, because one of them may be disconnected itself. */
@@ -92,7 +92,7 @@
     return stores().filter(({ hash }) => watchersOf(hash).includes(own))
   }
 
-  private handleChange (report: StoreWord): void {
+  private handleChange (report: StoreReport): void {
     const { ownAddress, log, announceNow } = this.options
     const { store, isSilent, incarnation } = report
     log.belief(isSilent ? 'A store of cached levels does not answer.' : 'A store of cached levels answers.', { store, incarnation })
--- a/packages/foxtaillever-relay/src/cache/storeMonitor.ts
+++ b/packages/foxtaillever-relay/src/cache/storeMonitor.ts
@@ -1,6 +1,6 @@
 /** Polls the stores of cached levels that are assigned to this instance, and reports changes. */
 import type { Cancellation, Clock, Failure } from 'foxtaillever-core'
-import type { StoreWord } from 'foxtaillever-policy/relay/storeReach'
+import type { StoreReport } from 'foxtaillever-policy/relay/storeReachability'
 import type { Either } from 'purify-ts'
 import type { CacheStore } from '../model/routing.js'
 
@@ -32,11 +32,11 @@
   /** Stores that this instance must poll now. */
   readonly stores: () => readonly CacheStore[]
   /** A store became silent, answers again or has restarted. */
-  readonly onChanged: (report: StoreWord) => void
+  readonly onChanged: (report: StoreReport) => void
 }
 
 interface PollState {
-  report: StoreWord
+  report: StoreReport
   nextEvent: number
   failures: number
 }
@@ -62,7 +62,7 @@
   }
 
   /** The reports that other instances get with each heartbeat. */
-  reports (): StoreWord[] {
+  reports (): StoreReport[] {
     return [...this.polls.values()].map(({ report }) => report)
   }
 
--- a/packages/foxtaillever-relay/src/exchange/attemptPlacement.ts
+++ b/packages/foxtaillever-relay/src/exchange/attemptPlacement.ts
@@ -74,7 +74,7 @@
       this.releaseLimit()
     } else if (admission === LimitAdmission.Refused) {
       this.place(queriedServers)
-    } else if (ledger.arrivals > 0 && !context.retries.take(exchange.service, context.clock.now())) {
+    } else if (ledger.arrivals > 0 && !context.retries.tryRetry(exchange.service, context.clock.now())) {
       this.releaseLimit()
       this.fail(FailureCode.Overloaded, 'The retry budget is used up.')
     } else {
--- a/packages/foxtaillever-relay/src/exchange/crashSuspects.ts
+++ b/packages/foxtaillever-relay/src/exchange/crashSuspects.ts
@@ -54,14 +54,14 @@
 
   /** Whether the request was already lost at more than one server, so that this instance does not retry it. */
   wasLostRepeatedly (exchange: Exchange): boolean {
-    return this.table.size > 0 && this.table.guiltOf(this.digestOf(exchange)) > 1
+    return this.table.size > 0 && this.table.unclearedCrashesOf(this.digestOf(exchange)) > 1
   }
 
   /** Records that the server was lost, or stopped answering, while it had the request. */
   recordLoss (exchange: Exchange, server: string, now: number): void {
     const digest = this.digestOf(exchange)
     this.lastLossAt.set(digest, now)
-    this.table.accuse(digest, server, '', now)
+    this.table.recordLoss(digest, server, '', now)
   }
 
   /**
@@ -70,9 +70,9 @@
    */
   clearSuspicion (exchange: Exchange, server: string, beganAt: number, now: number): void {
     if (this.table.size > 0) {
-      this.table.clear(this.digestOf(exchange), now)
+      this.table.clearSuspicion(this.digestOf(exchange), now)
       // A restarted server has another id, so a server that answers under this id has not crashed.
-      this.table.observeIncarnation(server, '', beganAt, now)
+      this.table.recordIncarnation(server, '', beganAt, now)
     }
   }
 
@@ -84,7 +84,7 @@
       }
     })
     const own = [...this.lastLossAt.keys()].flatMap(digest => this.table.factOf(digest, now) ?? []).sort(byUnclearedCrashes).slice(0, MAX_OWN_ANNOUNCED)
-    const others = this.table.toShare(now).filter(fact => !own.includes(fact)).sort(byUnclearedCrashes)
+    const others = this.table.factsToAnnounce(now).filter(fact => !own.includes(fact)).sort(byUnclearedCrashes)
     return [...own, ...others]
       .slice(0, MAX_ANNOUNCED)
       .map(({ fingerprint, crashes, cleared, expiresAt }) => [fingerprint, crashes.join(), cleared.join(), Math.ceil(expiresAt - now)].join(SEPARATOR))
@@ -92,7 +92,7 @@
 
   /** Applies the facts that another instance announced. */
   receiveFacts (facts: readonly string[], now: number): void {
-    this.table.observe(facts.flatMap(text => readFact(text, now)), now)
+    this.table.receiveFacts(facts.flatMap(text => readFact(text, now)), now)
   }
 
   private digestOf (exchange: Exchange): string {
--- a/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
@@ -17,7 +17,7 @@
 import type { KnownServer } from '../servers/knownServer.js'
 import { ServerSelector, type QueriedServers, type ServerSelectorOptions } from '../servers/serverSelector.js'
 import { ServerDirectory } from '../servers/serverDirectory.js'
-import { RetrySchedule } from '../servers/retrySchedule.js'
+import { ServiceRetrySchedules } from '../servers/serviceRetrySchedules.js'
 import { ServerStatementHandler } from '../servers/serverStatementHandler.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import type { ExchangeContext } from './exchangeContext.js'
@@ -75,7 +75,7 @@
     })
     this.limits = ServerLimits.create({ clock, log, directory: this.directory, protocol: options.limitProtocol, onUrgent: options.onLimitChanged })
     this.statements = ServerStatementHandler.create({ clock, log, directory: this.directory, limits: this.limits, onBackoffRequested: options.onBackoffRequested })
-    const retrySchedule = RetrySchedule.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => this.instances })
+    const retrySchedules = ServiceRetrySchedules.create({ clock, directory: this.directory, limitOf: server => this.limits.limitOf(server), instances: () => this.instances })
     const selector = ServerSelector.create({
       ...options,
       directory: this.directory,
@@ -100,7 +100,7 @@
       onSaved,
       onUnreachable,
       queryLoad: (exchange, earlier) => exchange.prompt && queryLoad(() => ({ servers: selector.shortlist(exchange, earlier), level: this.levelAtHome(exchange, selector.homeServerOf(exchange)) })),
-      earliestRetryAt: service => retrySchedule.nextRetryAt(service),
+      earliestRetryAt: service => retrySchedules.nextRetryAt(service),
       place: (exchange, earlier, queriedServers) => selector.selectServer(exchange, earlier, queriedServers),
       onMisdirected
     })
@@ -113,7 +113,7 @@
   /** Sets how many instances share the servers' connections and the retry budget. */
   setInstanceCount (count: number): void {
     this.instances = count
-    this.retries.observeInstances(count)
+    this.retries.setInstances(count)
     this.directory.setInstanceCount(count)
   }
 
--- a/packages/foxtaillever-relay/src/exchange/recordAnswerHead.ts
+++ b/packages/foxtaillever-relay/src/exchange/recordAnswerHead.ts
@@ -15,7 +15,7 @@
   }
   // Waiting for new weights or behind other requests says nothing about the prefill speed.
   if (prompt && status < FIRST_UNSUCCESSFUL_STATUS && !inFlight.isChanging && !inFlight.isYielding) {
-    directory.observations.prefillSpeedOf(service).observe(inFlight.tokensToRead, at - inFlight.beganAt)
+    directory.observations.prefillSpeedOf(service).addSample(inFlight.tokensToRead, at - inFlight.beganAt)
   }
   inFlight.recordStatus(status, clock.now())
 }
--- a/packages/foxtaillever-relay/src/exchange/shouldAbandon.ts
+++ b/packages/foxtaillever-relay/src/exchange/shouldAbandon.ts
@@ -16,5 +16,5 @@
 export function shouldAbandon ({ clock, retries }: ExchangeContext, exchange: Exchange, { current, ledger, canContinue, hasBegun }: SilentAttempt): boolean {
   // A request that waits in the engine's queue would only wait again at another server.
   const isQueued = exchange.route.isStream && !hasBegun && (!current.isOvertaken || current.isYielding)
-  return !isQueued && isRepeatable(exchange) && canContinue && ledger.hasAttemptsLeft && retries.canTake(exchange.service, clock.now())
+  return !isQueued && isRepeatable(exchange) && canContinue && ledger.hasAttemptsLeft && retries.canRetry(exchange.service, clock.now())
 }
--- a/packages/foxtaillever-relay/src/exchange/watchAttempt.ts
+++ b/packages/foxtaillever-relay/src/exchange/watchAttempt.ts
@@ -1,5 +1,5 @@
 /** Watches one attempt for silence. How long its server may be silent follows from the route's objectives and its usual response time. */
-import { awaitFirstUntil, awaitNextUntil } from 'foxtaillever-policy/relay/silence'
+import { firstEventTimeoutAt, nextEventTimeoutAt } from 'foxtaillever-policy/relay/answerTimeout'
 import type { Exchange } from '../model/exchange.js'
 import type { ExchangeContext } from './exchangeContext.js'
 import { SilenceWatch } from './silenceWatch.js'
@@ -9,8 +9,8 @@
   const usualMs = directory.observations.usualTimeOf(route.name).value
   return SilenceWatch.start({
     clock,
-    firstUntil: awaitFirstUntil({ sentAt, deadline, objectiveMs: route.objectiveMs, usualMs }),
-    nextUntil: receivedAt => awaitNextUntil(receivedAt, route.pauseObjectiveMs),
+    firstUntil: firstEventTimeoutAt({ sentAt, deadline, objectiveMs: route.objectiveMs, usualMs }),
+    nextUntil: receivedAt => nextEventTimeoutAt(receivedAt, route.pauseObjectiveMs),
     onSilent
   })
 }
--- a/packages/foxtaillever-relay/src/knowledge/freshnessTracker.ts
+++ b/packages/foxtaillever-relay/src/knowledge/freshnessTracker.ts
@@ -2,7 +2,7 @@
  * Tracks how recent this instance's data of the platform's store is, by its own
  * calls or by notices of other instances, and whether the store was down for all.
  */
-import { WATCH_SILENCE_MS } from 'foxtaillever-policy/relay/readTurn'
+import { WATCH_SILENCE_MS } from 'foxtaillever-policy/relay/readSchedule'
 
 /** Data of this age shows an outage: while the store answers any instance, the fleet keeps its data more recent, milliseconds. */
 const OUTAGE_MS = 2000
--- a/packages/foxtaillever-relay/src/knowledge/readPlans.ts
+++ b/packages/foxtaillever-relay/src/knowledge/readPlans.ts
@@ -1,6 +1,6 @@
 /** Decides when this instance reads each topic of the platform's store: few instances read at a time and notify the others. */
 import type { Clock } from 'foxtaillever-core'
-import { nextReadAt, nextWatchAt, placeReader, type Reader, type ReaderPlace } from 'foxtaillever-policy/relay/readTurn'
+import { nextReadAt, nextWatchAt, rankReader, type Reader, type ReaderRank } from 'foxtaillever-policy/relay/readSchedule'
 import { AnnouncedTopic } from '../peers/announcedTopic.js'
 import type { FreshnessTracker } from './freshnessTracker.js'
 import type { TopicFollower, TopicFollowerOptions } from './topicFollower.js'
@@ -70,9 +70,9 @@
     }
   }
 
-  private placeAmongReaders (): ReaderPlace {
+  private placeAmongReaders (): ReaderRank {
     const { self, readers } = this.options
-    return placeReader(self, readers())
+    return rankReader(self, readers())
   }
 
   private watchAt (): number {
--- a/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
+++ b/packages/foxtaillever-relay/src/limits/__fixtures__/limitFleet.ts
@@ -1,6 +1,6 @@
 /** Instances that share limits over simulated datagrams, which may be lost, delayed, duplicated or partitioned; every decision is recorded for the tests to check. */
 import { SeededRandom, type Random } from 'foxtaillever-core'
-import { LimitOutcome, type SharedLimit, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { LimitOutcome, type SharedLimit, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { VirtualClock } from 'foxtaillever-testing/virtualClock'
 import { unpackDatagram } from '../../peers/datagram.js'
 import { LimitOwners } from '../limitOwners.js'
--- a/packages/foxtaillever-relay/src/limits/__fixtures__/limitHistory.ts
+++ b/packages/foxtaillever-relay/src/limits/__fixtures__/limitHistory.ts
@@ -1,6 +1,6 @@
 /** A history of a fleet that shares limits, drawn from a seed: faults, members and limits change while an account exceeds its limit. */
 import { SeededRandom, type Random } from 'foxtaillever-core'
-import type { SharedLimit } from 'foxtaillever-policy/limits/sharedLimitBook'
+import type { SharedLimit } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { LimitFleet, quotas, type FleetNode, type LimitSubject } from './limitFleet.js'
 
 const ACCOUNT = 'acme'
--- a/packages/foxtaillever-relay/src/limits/accountQuotas.ts
+++ b/packages/foxtaillever-relay/src/limits/accountQuotas.ts
@@ -1,7 +1,7 @@
 /** Checks the cost of each exchange against the quota of its client account. */
 import { Failure, FailureCode, type Clock } from 'foxtaillever-core'
-import { LimitOutcome, ReturnOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
-import { comeBackAt } from 'foxtaillever-policy/relay/comeBack'
+import { LimitOutcome, RetryOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitLedger'
+import { earliestRetryTime } from 'foxtaillever-policy/relay/earliestRetryTime'
 import type { Exchange } from '../model/exchange.js'
 import { QuotaUnit, type RelayQuota } from '../model/routing.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -12,7 +12,7 @@
 const MAX_WAIT_MS = 500
 
 export function createQuotaKind (tolerance: LimitTolerance): LimitKind {
-  return { scope: LimitScope.Account, tolerance, retryOrder: ReturnOrder.InTurn, maxWaitMs: MAX_WAIT_MS }
+  return { scope: LimitScope.Account, tolerance, retryOrder: RetryOrder.InTurn, maxWaitMs: MAX_WAIT_MS }
 }
 
 export interface AccountQuotasOptions {
@@ -71,6 +71,6 @@
   private refusalOf ({ outcome, retryAt }: LimitResult): Failure {
     return outcome === LimitOutcome.Refused
       ? Failure.notRun(FailureCode.AccountOverLimit, 'The client account is over its quota.', retryAt)
-      : Failure.notRun(FailureCode.QuotaUnknown, 'No instance that decides on the quota of the client account answers.', comeBackAt(FailureCode.QuotaUnknown, this.options.clock.now()))
+      : Failure.notRun(FailureCode.QuotaUnknown, 'No instance that decides on the quota of the client account answers.', earliestRetryTime(FailureCode.QuotaUnknown, this.options.clock.now()))
   }
 }
--- a/packages/foxtaillever-relay/src/limits/limitMessage.ts
+++ b/packages/foxtaillever-relay/src/limits/limitMessage.ts
@@ -1,5 +1,5 @@
 /** Datagrams between instances about shared limits, encoded as arrays by position. */
-import type { SharedLimit, LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitBook'
+import type { SharedLimit, LimitOutcome, LimitRole } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { Maybe } from 'purify-ts'
 import { DatagramKind, packDatagram } from '../peers/datagram.js'
 
--- a/packages/foxtaillever-relay/src/limits/limitProtocol.ts
+++ b/packages/foxtaillever-relay/src/limits/limitProtocol.ts
@@ -8,7 +8,7 @@
  */
 import { atAfterSilence, type Cancellation, type Clock } from 'foxtaillever-core'
 import { RecentMap } from 'foxtaillever-policy/collections/recentMap'
-import { SharedLimitBook, LimitOutcome, LimitRole, RENEWAL_MS, type LimitClaim, type LimitTolerance, type ReturnOrder } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { SharedLimitLedger, LimitOutcome, LimitRole, RENEWAL_MS, type LimitClaim, type LimitTolerance, type RetryOrder } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { DatagramKind } from '../peers/datagram.js'
 import { UnresponsivePeers, type UnresponsivePeersOptions } from '../peers/unresponsivePeers.js'
 import { LimitScope, type LimitMessage, type LimitRequest, type LimitResponse } from './limitMessage.js'
@@ -51,7 +51,7 @@
   readonly scope: LimitScope
   readonly tolerance: LimitTolerance
   /** How refused claims are spread over time: successive retry times, or first come, first served. */
-  readonly retryOrder: ReturnOrder
+  readonly retryOrder: RetryOrder
   /** Longest wait for a decision, milliseconds. */
   readonly maxWaitMs: number
 }
@@ -98,7 +98,7 @@
 }
 
 export class LimitProtocol {
-  private readonly ledger: SharedLimitBook
+  private readonly ledger: SharedLimitLedger
   private readonly skippedPeers: UnresponsivePeers
   private readonly pending = new Map<number, PendingClaim>()
   private readonly allowances = RecentMap.create<Allowance>(MAX_ALLOWANCES)
@@ -107,7 +107,7 @@
   private nextNumber = 0
 
   private constructor (private readonly options: LimitProtocolOptions) {
-    this.ledger = SharedLimitBook.create(options.tolerance, options.retryOrder)
+    this.ledger = SharedLimitLedger.create(options.tolerance, options.retryOrder)
     this.skippedPeers = UnresponsivePeers.create(options)
   }
 
@@ -137,7 +137,7 @@
     const [owner] = this.ranking(key)
     const { address, scope, send } = this.options
     if (owner === address) {
-      this.ledger.giveBack(key, cost)
+      this.ledger.refund(key, cost)
     } else if (owner !== undefined) {
       send(owner, { kind: DatagramKind.LimitReturn, scope, address, key, cost })
     }
@@ -148,14 +148,14 @@
     switch (message.kind) {
       case DatagramKind.LimitQuestion: send(message.address, this.decide(this.convertRevision(message))); break
       case DatagramKind.LimitAnswer: this.receiveResponse(message); break
-      case DatagramKind.LimitReturn: this.ledger.giveBack(message.key, message.cost); break
+      case DatagramKind.LimitReturn: this.ledger.refund(message.key, message.cost); break
       case DatagramKind.LimitRenewal:
         // The sender may have just joined and own the key now; this instance must count it as a member.
         this.options.onInstanceSeen(message.address)
-        this.ledger.promise(message.key, clock.now())
+        this.ledger.promiseToHoldBack(message.key, clock.now())
         send(message.address, { ...message, kind: DatagramKind.LimitPromise, address })
         break
-      case DatagramKind.LimitPromise: this.ledger.observePromise(message.key, message.sentAt); break
+      case DatagramKind.LimitPromise: this.ledger.recordPromise(message.key, message.sentAt); break
     }
   }
 
@@ -255,7 +255,7 @@
       return
     }
     if (dueAt <= now) {
-      this.ledger.noteRenewal(key, now)
+      this.ledger.recordRenewalRequest(key, now)
       send(standby, { kind: DatagramKind.LimitRenewal, scope, address, key, sentAt: now })
     }
     if (!this.renewals.has(key)) {
@@ -276,7 +276,7 @@
     const [, standby] = ranked
     if (standby === undefined) {
       // Without a standby no promise is needed.
-      this.ledger.observePromise(key, now)
+      this.ledger.recordPromise(key, now)
     }
     const role = since === undefined ? LimitRole.None : rolesByRank[ranked.indexOf(address)] ?? LimitRole.None
     const { outcome, retryAt, free } = this.ledger.decide({ key, limit, cost, isTaken }, role, since ?? now, instanceCount(), now)
--- a/packages/foxtaillever-relay/src/limits/serverLimits.ts
+++ b/packages/foxtaillever-relay/src/limits/serverLimits.ts
@@ -7,7 +7,7 @@
  * of the limit, so only the sum over all instances shows that the limit is exceeded.
  */
 import type { Clock } from 'foxtaillever-core'
-import { LimitOutcome, ReturnOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitBook'
+import { LimitOutcome, RetryOrder, type LimitTolerance } from 'foxtaillever-policy/limits/sharedLimitLedger'
 import { StatedLimits, type LimitChange, type StatedLimit } from 'foxtaillever-policy/limits/statedLimits'
 import type { Exchange } from '../model/exchange.js'
 import { LimitStatementKind } from '../model/limitStatement.js'
@@ -29,7 +29,7 @@
 /** Longest wait for a decision, milliseconds: other servers may have room. */
 const MAX_WAIT_MS = 100
 
-export const serverLimitKind: LimitKind = { scope: LimitScope.Server, tolerance: TOLERANCE, retryOrder: ReturnOrder.FirstCome, maxWaitMs: MAX_WAIT_MS }
+export const serverLimitKind: LimitKind = { scope: LimitScope.Server, tolerance: TOLERANCE, retryOrder: RetryOrder.FirstCome, maxWaitMs: MAX_WAIT_MS }
 
 /** A server gets at least this many requests a second, however low its limit: only its answers show that the limit has ended. */
 const MIN_PER_S = 0.25
@@ -105,14 +105,14 @@
   updates (): LimitUpdate[] {
     const { clock, directory } = this.options
     const now = clock.now()
-    return this.stated.toTell(now)
+    return this.stated.statementsToAnnounce(now)
       .filter(({ server }) => directory.getByHash(server) !== undefined)
       .map(({ server, perSecond, at }) => ({ server, perSecond, ageMs: now - at }))
   }
 
   /** Counts a request against the server's limit; calls back when decided. */
   admit (server: KnownServer, exchange: Exchange, onDecided: (admission: LimitAdmission) => void): void {
-    const limit = this.stated.of(server.hash)
+    const limit = this.stated.limitOf(server.hash)
     if (!limit) {
       onDecided(LimitAdmission.Free)
       return
@@ -128,7 +128,7 @@
 
   /** Requests a second that the server accepts from all instances together; undefined without a limit. */
   limitOf ({ hash }: KnownServer): number | undefined {
-    const limit = this.stated.of(hash)
+    const limit = this.stated.limitOf(hash)
     return limit && Math.max(MIN_PER_S, limit.perSecond)
   }
 
@@ -142,7 +142,7 @@
     }
     const pauseMs = result.outcome === LimitOutcome.Refused ? Math.min(Math.max(result.retryAt - now, MIN_REFUSED_MS), MAX_REFUSED_MS) : UNDECIDED_RETRY_MS
     // The limit may have ended before the decision arrived.
-    server.limitedUntil = this.stated.of(server.hash) ? now + pauseMs : 0
+    server.limitedUntil = this.stated.limitOf(server.hash) ? now + pauseMs : 0
     log.serverLimitRefused(exchange, id, limit, result, now)
     return LimitAdmission.Refused
   }
@@ -155,7 +155,7 @@
   }
 
   private recordLimit (server: KnownServer, perSecond: number | undefined, at: number): LimitChange | undefined {
-    const change = this.stated.observe(server.hash, perSecond, at)
+    const change = this.stated.recordStatement(server.hash, perSecond, at)
     if (change) {
       server.limitedUntil = 0
       this.options.log.belief('A backend server states another limit of requests a second.', { server: server.listed.id, perSecond, before: change.before, ageMs: Math.round(this.options.clock.now() - at) })
--- a/packages/foxtaillever-relay/src/peers/fleetLoad.ts
+++ b/packages/foxtaillever-relay/src/peers/fleetLoad.ts
@@ -1,6 +1,6 @@
 /** Load that the other instances put on each backend server, as last reported. */
 import type { Clock } from 'foxtaillever-core'
-import { fadeLoad, noLoad, sampleSum, type ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
+import { decayLoad, noLoad, estimateSum, type ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
 import type { ServerUse } from './peerMessage.js'
 
 interface PeerLoad {
@@ -31,7 +31,7 @@
   of (server: number): ServerLoad {
     const reported = this.sums.get(server) ?? noLoad
     const sum = this.watched.get(server)
-    return sum === undefined ? reported : add(reported, fadeLoad(sum, this.clock.now() - sum.at), 1)
+    return sum === undefined ? reported : add(reported, decayLoad(sum, this.clock.now() - sum.at), 1)
   }
 
   /**
@@ -42,7 +42,7 @@
   sampledTokens (server: number, others: number): number {
     const now = this.clock.now()
     const samples = [...this.byPeer.values()].map(({ uses, at }) => ({ amount: uses.find(use => use.server === server)?.tokens ?? 0, ageMs: now - at }))
-    return sampleSum(samples, others)
+    return estimateSum(samples, others)
   }
 
   setPeerLoad (peer: string, uses: readonly ServerUse[]): void {
--- a/packages/foxtaillever-relay/src/peers/heartbeatContents.ts
+++ b/packages/foxtaillever-relay/src/peers/heartbeatContents.ts
@@ -47,7 +47,7 @@
   parts.suspects.receiveFacts(suspects, clock.now())
   exchanges.caches.applyReport(address, caches)
   applyWeightsNotice(orders, { updates: [], lease })
-  speeds.forEach(({ service, ...speed }) => exchanges.directory.observations.prefillSpeedOf(service).hear(speed))
+  speeds.forEach(({ service, ...speed }) => exchanges.directory.observations.prefillSpeedOf(service).adoptReport(speed))
   named.forEach(update => orders.rollout.applyVersion(update))
   current.forEach(update => orders.rollout.applyCurrentEngines(update))
 }
--- a/packages/foxtaillever-relay/src/peers/loadProtocol.ts
+++ b/packages/foxtaillever-relay/src/peers/loadProtocol.ts
@@ -131,7 +131,7 @@
 
   /** A store restarted empty: levels are no longer reported as saved. */
   forgetSaved (): void {
-    this.watchedServers.saved.forget()
+    this.watchedServers.saved.clear()
   }
 
   /** Total load of the servers for which this instance is the first watcher, to be sent to all instances. */
@@ -156,7 +156,7 @@
     return {
       loads: servers.map(server => ({ server, ...this.watchedServers.sumOf(server, requester, now) })),
       unreachable: servers.filter(server => this.watchedServers.isUnreachable(server, now)),
-      saved: levels.filter(level => this.watchedServers.saved.has(level, now)),
+      saved: levels.filter(level => this.watchedServers.saved.isSavedRecently(level, now)),
       backingOff: servers.filter(server => this.watchedServers.isBackingOff(server, now))
     }
   }
@@ -208,7 +208,7 @@
   private applyReport ({ address, loads, unreachable, saved, backingOff }: ServerLoadReport, now: number): void {
     this.watchedServers.recordLoads(address, loads, now)
     this.watchedServers.recordUnreachable(address, unreachable, now)
-    this.watchedServers.saved.hear(saved, now)
+    this.watchedServers.saved.recordAnnounced(saved, now)
     this.watchedServers.recordBackingOff(backingOff, now)
   }
 
--- a/packages/foxtaillever-relay/src/peers/peerMessage.ts
+++ b/packages/foxtaillever-relay/src/peers/peerMessage.ts
@@ -1,7 +1,7 @@
 /** What an instance reports about itself to the others with each heartbeat, by datagram. */
-import type { SpeedWord } from 'foxtaillever-policy/relay/prefillSpeed'
+import type { SpeedReport } from 'foxtaillever-policy/relay/prefillSpeed'
 import type { ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
-import type { StoreWord } from 'foxtaillever-policy/relay/storeReach'
+import type { StoreReport } from 'foxtaillever-policy/relay/storeReachability'
 import { Maybe } from 'purify-ts'
 import { packDatagram } from './datagram.js'
 
@@ -53,7 +53,7 @@
 }
 
 /** How fast the engines of a service read prompts, as the sender observed. */
-export interface SpeedUpdate extends SpeedWord {
+export interface SpeedUpdate extends SpeedReport {
   readonly service: string
 }
 
@@ -93,7 +93,7 @@
   readonly savedLevels: readonly number[]
   readonly current: readonly CurrentEngines[]
   /** Reachability of the stores of cached levels that the sender watches. */
-  readonly stores: readonly StoreWord[]
+  readonly stores: readonly StoreReport[]
   /** Speeds of services that the sender has observed enough, for instances that have just started. */
   readonly speeds: readonly SpeedUpdate[]
   readonly limits: readonly LimitUpdate[]
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -197,7 +197,7 @@
       onMessage: message => applyPeerMessage(this.heartbeatParts(), message),
       ownUses: () => ownUses(this.dispatcher.directory.all()),
       isQueried: server => (this.dispatcher.directory.getByHash(server)?.weights.size ?? 0) > 0,
-      onSaved: levels => this.dispatcher.caches.savedLevels.hear(levels, clock.now()),
+      onSaved: levels => this.dispatcher.caches.savedLevels.recordAnnounced(levels, clock.now()),
       onUnreachable: hash => this.dispatcher.recordUnreachable(hash),
       onBackingOff: hash => this.dispatcher.recordBackoff(hash),
       onUnresponsive: peer => this.log.belief('An instance does not answer questions of load; its second is asked.', { peer }),
@@ -237,7 +237,7 @@
       topic: topics.members,
       name,
       address: this.peers.address,
-      onFirstIncarnation: () => this.dispatcher.retries.observeFirstLife(),
+      onFirstIncarnation: () => this.dispatcher.retries.recordFirstStart(),
       onAddresses: addresses => this.addAddresses(addresses),
       isLeaving: () => this.isLeaving
     })
--- a/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
+++ b/packages/foxtaillever-relay/src/servers/__fixtures__/statementHistory.ts
@@ -147,7 +147,7 @@
     const available = this.directory.ready('s').filter(server => availableFrom(server) <= now)
     if (available.length > 0) {
       const server = this.draw(available)
-      server.stated.observeSent(now)
+      server.stated.recordSent(now)
       this.after(this.random.below(CONNECT_MS), () => this.sendIfReachable(server, now))
     }
     if (now < until) {
--- a/packages/foxtaillever-relay/src/servers/knownServer.ts
+++ b/packages/foxtaillever-relay/src/servers/knownServer.ts
@@ -1,7 +1,7 @@
 /** What this instance knows about one incarnation of a backend server. */
 import { hashNumber } from 'foxtaillever-core'
 import { ServerHealth } from 'foxtaillever-policy/relay/serverHealth'
-import type { StatedState } from 'foxtaillever-policy/relay/statedState'
+import type { StatedAvailability } from 'foxtaillever-policy/relay/statedAvailability'
 import type { ListedServer } from '../model/listedServer.js'
 import type { ServerConnections } from './serverConnections.js'
 
@@ -26,7 +26,7 @@
   offset: number
   readonly connections: ServerConnections
   /** What the server has stated about itself. */
-  readonly stated: StatedState
+  readonly stated: StatedAvailability
   /** Newest weights version of each model, as seen in the server list, a report or an answer. */
   readonly weights: Map<string, number>
   /** Requests from this instance that the server has not answered yet. */
@@ -55,7 +55,7 @@
 }
 
 /** Creates an incarnation about which only its entry and its earlier statements are known. */
-export function createKnownServer (listed: ListedServer, offset: number, stated: StatedState, connections: ServerConnections): KnownServer {
+export function createKnownServer (listed: ListedServer, offset: number, stated: StatedAvailability, connections: ServerConnections): KnownServer {
   return {
     listed,
     hash: incarnationHash(listed),
--- a/packages/foxtaillever-relay/src/servers/serverConnections.ts
+++ b/packages/foxtaillever-relay/src/servers/serverConnections.ts
@@ -8,7 +8,7 @@
 import { Agent, request, type AgentOptions, type ClientRequest, type IncomingHttpHeaders, type IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
-import type { ConnectionPart } from 'foxtaillever-policy/relay/connectionPart'
+import type { ConnectionShare } from 'foxtaillever-policy/relay/connectionShare'
 
 /** An idle connection is closed after this unless the server states another time, milliseconds. */
 const IDLE_TIMEOUT_MS = 4000
@@ -96,7 +96,7 @@
 export interface ServerConnectionsOptions {
   /** IP address and port. */
   readonly address: string
-  readonly part: ConnectionPart
+  readonly part: ConnectionShare
   /** Milliseconds of a monotonic clock. */
   readonly now?: (() => number) | undefined
   /** Checked right before the first byte of a request is sent. */
@@ -155,7 +155,7 @@
   }
 
   /** Sets this instance's share of the server's connections, which changes with the number of instances. */
-  setLimits ({ total, idle }: ConnectionPart): void {
+  setLimits ({ total, idle }: ConnectionShare): void {
     this.agent.maxSockets = total
     this.agent.maxFreeSockets = idle
   }
--- a/packages/foxtaillever-relay/src/servers/serverDirectory.ts
+++ b/packages/foxtaillever-relay/src/servers/serverDirectory.ts
@@ -10,9 +10,9 @@
  * one, such as a request in flight, changes only that.
  */
 import type { IncomingHttpHeaders } from 'node:http'
-import { connectionPart, type ConnectionPart } from 'foxtaillever-policy/relay/connectionPart'
+import { connectionShare, type ConnectionShare } from 'foxtaillever-policy/relay/connectionShare'
 import { SETTLED_SAMPLES } from 'foxtaillever-policy/relay/prefillSpeed'
-import { StatedState } from 'foxtaillever-policy/relay/statedState'
+import { StatedAvailability } from 'foxtaillever-policy/relay/statedAvailability'
 import { hasSameContent, ServerState, type ListedServer } from '../model/listedServer.js'
 import type { Routing } from '../model/routing.js'
 import type { SpeedUpdate } from '../peers/peerMessage.js'
@@ -38,7 +38,7 @@
   readonly offset: number
   /** Of the newest incarnation that was known. */
   readonly startedAt: number
-  readonly stated: StatedState
+  readonly stated: StatedAvailability
 }
 
 export class ServerDirectory {
@@ -80,8 +80,8 @@
     this.servers.forEach(({ listed, connections }) => connections.setLimits(this.connectionPart(listed.service)))
   }
 
-  private connectionPart (service: string): ConnectionPart {
-    return connectionPart(this.routing?.services.get(service)?.mostConnections ?? DEFAULT_CONNECTIONS, this.instanceCount)
+  private connectionPart (service: string): ConnectionShare {
+    return connectionShare(this.routing?.services.get(service)?.mostConnections ?? DEFAULT_CONNECTIONS, this.instanceCount)
   }
 
   /**
@@ -97,7 +97,7 @@
     const before = known?.listed
     const server = known ?? this.addIncarnation(listed, offset)
     if (listed.state === ServerState.Draining) {
-      server.stated.observeLeaving(0)
+      server.stated.recordLeaving(0)
     }
     // An incarnation that stated that it leaves never serves again.
     server.listed = { ...listed, state: server.stated.isLeaving ? ServerState.Draining : listed.state }
@@ -133,7 +133,7 @@
    * What the newest known incarnation of the id has stated. That incarnation answers
    * every request to the id, because the earlier ones have ended.
    */
-  newestStatedState (id: string): StatedState | undefined {
+  newestStatedState (id: string): StatedAvailability | undefined {
     return (this.servers.get(id) ?? this.removals.get(id))?.stated
   }
 
@@ -143,7 +143,7 @@
    */
   markLeaving (id: string, now: number): boolean {
     const server = this.servers.get(id)
-    const isNew = this.newestStatedState(id)?.observeLeaving(now) === true
+    const isNew = this.newestStatedState(id)?.recordLeaving(now) === true
     if (server && isNew) {
       const before = server.listed.state
       server.listed = { ...server.listed, state: ServerState.Draining }
@@ -185,12 +185,12 @@
   }
 
   /** What the incarnation has stated so far. If it is later than the known one, that is what was stated since its start. */
-  private statedStateOf ({ id, startedAt }: ListedServer): StatedState {
+  private statedStateOf ({ id, startedAt }: ListedServer): StatedAvailability {
     const stated = this.newestStatedState(id)
     if (stated === undefined) {
-      return StatedState.create()
+      return StatedAvailability.create()
     }
-    return startedAt > this.newestStartOf(id) ? stated.since(startedAt) : stated
+    return startedAt > this.newestStartOf(id) ? stated.sinceStart(startedAt) : stated
   }
 
   /** Removes the incarnation; its requests in flight end by themselves. */
@@ -206,7 +206,7 @@
       return
     }
     const known = this.servers.get(id)
-    const stated = this.newestStatedState(id) ?? StatedState.create()
+    const stated = this.newestStatedState(id) ?? StatedAvailability.create()
     this.removals.set(id, { offset, startedAt: this.newestStartOf(id), stated })
     if (known) {
       const before = known.listed.state
--- a/packages/foxtaillever-relay/src/servers/serverObservations.ts
+++ b/packages/foxtaillever-relay/src/servers/serverObservations.ts
@@ -76,12 +76,12 @@
   recordSuccess (server: KnownServer, route: string, ms: number, now: number): void {
     const usual = this.usualTimeOf(route)
     const ratio = usual.ratioOf(ms)
-    usual.observe(ms)
-    this.recordOutcome(server, health => health.observeGood(now, ratio))
+    usual.addSample(ms)
+    this.recordOutcome(server, health => health.recordSuccess(now, ratio))
   }
 
   recordFault (server: KnownServer, now: number): void {
-    this.recordOutcome(server, health => health.observeBad(now))
+    this.recordOutcome(server, health => health.recordFailure(now))
   }
 
   /**
--- a/packages/foxtaillever-relay/src/servers/serverSelector.ts
+++ b/packages/foxtaillever-relay/src/servers/serverSelector.ts
@@ -1,6 +1,6 @@
 /** Selects the backend server for each attempt: passes what this instance knows to the placement policy and returns its best server. */
 import type { Clock, Random } from 'foxtaillever-core'
-import { presentHome, rankOffers, type ServerOffer } from 'foxtaillever-policy/relay/placeExchange'
+import { presentHome, rankCandidates, type ServerCandidate } from 'foxtaillever-policy/relay/placeExchange'
 import { homeAmong, homeDomains } from 'foxtaillever-policy/relay/levelHome'
 import { ownTokensOf, promptKeyOf } from '../attempts/planTerms.js'
 import type { Exchange } from '../model/exchange.js'
@@ -127,7 +127,7 @@
    * Ranks servers, the best first.
    * @param all servers among which the home of the prompt's levels is determined.
    */
-  private rankServers (exchange: Exchange, servers: readonly KnownServer[], all: readonly KnownServer[]): readonly ServerOffer[] {
+  private rankServers (exchange: Exchange, servers: readonly KnownServer[], all: readonly KnownServer[]): readonly ServerCandidate[] {
     const { directory, random, failureDomain, estimateLevelFetch } = this.options
     const estimate = estimateLevelFetch(exchange)
     const offers = servers.map(server => this.toOffer(server, exchange, estimate))
@@ -145,7 +145,7 @@
       fetchWaitMs: estimate.waitMs,
       failureDomain
     }
-    return rankOffers(offers, need, random)
+    return rankCandidates(offers, need, random)
   }
 
   /**
@@ -164,7 +164,7 @@
     if (promptKey === undefined) {
       return undefined
     }
-    const places = servers.map(({ idHash, listed, absentUntil }) => ({ hash: idHash, failureDomain: listed.failureDomain, isAbsent: absentUntil > now }))
+    const places = servers.map(({ idHash, listed, absentUntil }) => ({ hash: idHash, failureDomain: listed.failureDomain, isUnreachable: absentUntil > now }))
     return presentHome(promptKey, this.homeDomains(promptKey, directory.ready(service)), places)?.hash
   }
 
@@ -203,7 +203,7 @@
     return outstanding + this.options.fleetLoad.of(hash).outstanding
   }
 
-  private toOffer (server: KnownServer, exchange: Exchange, estimate: LevelFetchEstimate): ServerOffer {
+  private toOffer (server: KnownServer, exchange: Exchange, estimate: LevelFetchEstimate): ServerCandidate {
     const { clock, directory, fleetLoad } = this.options
     const { listed, unreadTokens, heldTokens, refusedAt, peerBackoffUntil, absentUntil, changingUntil } = server
     const now = clock.now()
@@ -219,7 +219,7 @@
       heldTokens: heldTokens + others.heldTokens,
       memoryTokens: directory.memoryTokensOf(listed.service),
       isRefusing: refusedAt + REFUSAL_LASTS_MS > now || peerBackoffUntil > now,
-      isAbsent: absentUntil > now,
+      isUnreachable: absentUntil > now,
       faultCostMs: directory.observations.faultCostOf(server, now),
       isChanging: changingUntil > now,
       isOutdated: this.hasReducedValue(server, exchange),
@@ -229,6 +229,6 @@
 }
 
 /** Whether the server would start or queue a request that is sent to it. */
-function acceptsRequests ({ isAbsent, isChanging, isRefusing }: ServerOffer): boolean {
-  return !isAbsent && !isChanging && !isRefusing
+function acceptsRequests ({ isUnreachable, isChanging, isRefusing }: ServerCandidate): boolean {
+  return !isUnreachable && !isChanging && !isRefusing
 }
--- a/packages/foxtaillever-relay/src/servers/serverStatementHandler.ts
+++ b/packages/foxtaillever-relay/src/servers/serverStatementHandler.ts
@@ -37,13 +37,13 @@
       log.leavingStated(id, requestId, directory.markLeaving(id, now))
     }
     if (hasRun) {
-      directory.newestStatedState(id)?.observeTaken(sentAt)
+      directory.newestStatedState(id)?.recordAccepted(sentAt)
     }
     restMs
       .ifLeft(text => log.backoffUnreadable(id, text))
       .ifRight(ms => {
         if (ms > 0) {
-          directory.newestStatedState(id)?.observeRest(now + ms, now)
+          directory.newestStatedState(id)?.recordBackoff(now + ms, now)
           onBackoffRequested(server)
           log.backoffRequested(id, requestId, ms)
         }
--- a/packages/foxtaillever-relay/src/servers/retrySchedule.ts
+++ b/packages/foxtaillever-relay/src/servers/serviceRetrySchedules.ts
@@ -3,7 +3,7 @@
  * now: one caller after the other, starting when the first server accepts requests again.
  */
 import type { Clock } from 'foxtaillever-core'
-import { ReturnTurns } from 'foxtaillever-policy/limits/returnTurns'
+import { RetrySchedule } from 'foxtaillever-policy/limits/retrySchedule'
 import type { KnownServer } from './knownServer.js'
 import type { ServerDirectory } from './serverDirectory.js'
 import { availableFrom } from './serverAvailability.js'
@@ -11,7 +11,7 @@
 /** Retries a second that each instance directs to a server after its backoff, until the server has accepted one. */
 const RETRIES_AFTER_BACKOFF_PER_S = 10
 
-export interface RetryScheduleOptions {
+export interface ServiceRetrySchedulesOptions {
   readonly clock: Clock
   readonly directory: Pick<ServerDirectory, 'ready'>
   /** Requests a second that the server accepts from all instances together; undefined if it stated no limit. */
@@ -19,14 +19,14 @@
   readonly instances: () => number
 }
 
-export class RetrySchedule {
+export class ServiceRetrySchedules {
   /** By service. */
-  private readonly turns = new Map<string, ReturnTurns>()
+  private readonly schedules = new Map<string, RetrySchedule>()
 
-  private constructor (private readonly options: RetryScheduleOptions) {}
+  private constructor (private readonly options: ServiceRetrySchedulesOptions) {}
 
-  static create (options: RetryScheduleOptions): RetrySchedule {
-    return new RetrySchedule(options)
+  static create (options: ServiceRetrySchedulesOptions): ServiceRetrySchedules {
+    return new ServiceRetrySchedules(options)
   }
 
   /** Milliseconds of Unix time; undefined if no server has stated when it accepts requests again, or if one accepts them now. */
@@ -39,8 +39,8 @@
       return undefined
     }
     const perSecond = closed.reduce((sum, server) => sum + (limitOf(server) ?? RETRIES_AFTER_BACKOFF_PER_S * instances()), 0)
-    const turns = this.turns.get(service) ?? ReturnTurns.create()
-    this.turns.set(service, turns)
-    return turns.next(Math.min(...closed.map(availableFrom)), instances() * 1000 / perSecond, now)
+    const schedule = this.schedules.get(service) ?? RetrySchedule.create()
+    this.schedules.set(service, schedule)
+    return schedule.nextRetryAt(Math.min(...closed.map(availableFrom)), instances() * 1000 / perSecond, now)
   }
 }
--- a/packages/foxtaillever-relay/src/weights/engineChange.ts
+++ b/packages/foxtaillever-relay/src/weights/engineChange.ts
@@ -6,7 +6,7 @@
  * An order names the sequence of the last report, so that a late order has no effect.
  */
 import type { Clock } from 'foxtaillever-core'
-import { LEAST_STEERED_MS, RolloutPhase } from 'foxtaillever-policy/relay/planRollout'
+import { MIN_STEERED_MS, RolloutPhase } from 'foxtaillever-policy/relay/planRollout'
 import type { KnownServer } from '../servers/knownServer.js'
 import { reachableFrom } from '../servers/serverAvailability.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
@@ -177,7 +177,7 @@
     this.report = report
     this.reportRequestedAt = requestedAt
     if (this.orderedAt === undefined) {
-      this.nextPollAt = requestedAt + (requestedAt < this.steeredAt + LEAST_STEERED_MS ? LEAST_STEERED_MS : STEERED_CHECK_INTERVAL_MS)
+      this.nextPollAt = requestedAt + (requestedAt < this.steeredAt + MIN_STEERED_MS ? MIN_STEERED_MS : STEERED_CHECK_INTERVAL_MS)
       return
     }
     this.nextPollAt = now + LOADING_CHECK_INTERVAL_MS
