--- a/packages/foxtaillever-fleet/src/claims/__fixtures__/claimFleet.ts
+++ b/packages/foxtaillever-fleet/src/claims/__fixtures__/claimFleet.ts
@@ -1,4 +1,4 @@
-/** Several instances that claim over one log, under a clock moved by hand. */
+/** Several instances that claim through one log, with a virtual clock. */
 import type { Failure } from 'foxtaillever-core'
 import { LocalLog, LogModel } from 'foxtaillever-standins'
 import { VirtualClock } from 'foxtaillever-testing'
@@ -6,7 +6,7 @@
 import { LogReader } from '../../log/logReader.js'
 import { claimKey } from '../claim.js'
 import { ClaimFold } from '../claimFold.js'
-import { ClaimKeeper, defaultClaimOptions } from '../claimKeeper.js'
+import { ClaimManager, defaultClaimOptions } from '../claimManager.js'
 import type { Grant } from '../grant.js'
 
 export const RETENTION_MS = 3_600_000
@@ -14,11 +14,11 @@
 export interface Member {
   readonly log: LocalLog
   readonly fold: ClaimFold
-  readonly keeper: ClaimKeeper
+  readonly manager: ClaimManager
   readonly reader: LogReader
 }
 
-export interface Wish {
+export interface ClaimParameters {
   readonly idempotencyKey: string
   readonly digest?: string
   readonly createdAt?: number
@@ -38,35 +38,35 @@
   /** A new instance, or the same one after a restart. */
   start (logRetentionMs = RETENTION_MS): Member {
     const log = LocalLog.create(this.model, this.clock)
-    const fold = ClaimFold.create({ keptMs: RETENTION_MS, logRetentionMs })
+    const fold = ClaimFold.create({ claimRetentionMs: RETENTION_MS, logRetentionMs })
     const incarnation = `instance-${this.started++}`
-    const keeper = ClaimKeeper.create(log, fold, this.clock, { ...defaultClaimOptions, instance: incarnation, incarnation })
-    const reader = LogReader.create(log, this.clock, [record => keeper.read(record)], (_, page) => keeper.cover(page))
+    const keeper = ClaimManager.create(log, fold, this.clock, { ...defaultClaimOptions, instance: incarnation, incarnation })
+    const reader = LogReader.create(log, this.clock, [record => keeper.applyRecord(record)], (_, page) => keeper.updateCoverage(page))
     reader.start()
-    return { log, fold, keeper, reader }
+    return { log, fold, manager: keeper, reader }
   }
 
-  /** Asks for a grant; the result is there once time has moved on. */
-  ask (member: Member, wish: Wish): { result?: Either<Failure, Grant> } {
+  /** Requests a grant; the result is set once the clock has advanced. */
+  requestClaim (member: Member, parameters: ClaimParameters): { result?: Either<Failure, Grant> } {
     const answer: { result?: Either<Failure, Grant> } = {}
     const request = {
-      key: claimKey('cooperative', wish.idempotencyKey),
+      key: claimKey('cooperative', parameters.idempotencyKey),
       requestId: `request-${this.requests++}`,
-      digest: wish.digest ?? 'body',
-      createdAt: wish.createdAt ?? this.clock.now(),
-      deadline: this.clock.now() + (wish.timeoutMs ?? 10_000)
+      digest: parameters.digest ?? 'body',
+      createdAt: parameters.createdAt ?? this.clock.now(),
+      deadline: this.clock.now() + (parameters.timeoutMs ?? 10_000)
     }
-    member.keeper.claim(request).then(result => { answer.result = result })
+    member.manager.claim(request).then(result => { answer.result = result })
     return answer
   }
 
-  async pass (milliseconds = 200): Promise<void> {
+  async advance (milliseconds = 200): Promise<void> {
     await this.clock.advanceBy(milliseconds)
   }
 }
 
-/** `granted`, or the failure's code and verdict in one word each. */
-export function nameResult (answer: { result?: Either<Failure, Grant> }): string {
+/** `waiting`, `granted`, or the failure's code and verdict. */
+export function describeResult (answer: { result?: Either<Failure, Grant> }): string {
   if (!answer.result) {
     return 'waiting'
   }
--- a/packages/foxtaillever-fleet/src/claims/claim.ts
+++ b/packages/foxtaillever-fleet/src/claims/claim.ts
@@ -1,52 +1,52 @@
 /**
- * What stands in the log about non-idempotent requests: claims, made before
- * the first byte leaves, and outcomes, written when the owner knows them.
+ * Log records about non-idempotent requests: claims, appended before the first
+ * byte is sent, and outcomes, appended when the owner of the claim knows them.
  */
 import { Verdict } from 'foxtaillever-core'
 import { Maybe } from 'purify-ts'
 import { z } from 'zod'
 
-/** One request's wish to be the only one that runs under its key. */
+/** Reserves an idempotency key for one request, so that no other request runs under it. */
 export interface Claim {
   /** Client account and idempotency key, joined by `claimKey`. */
   readonly key: string
   readonly requestId: string
-  /** Digest of the body, so that another request under the same key is refused. */
+  /** Digest of the body, so that a request with another body under the same key is refused. */
   readonly digest: string
-  /** When the caller made the key, milliseconds of Unix time on the caller's clock. */
+  /** When the caller created the key, milliseconds of Unix time on the caller's clock. */
   readonly createdAt: number
 }
 
-/** How a claimed request ended, as its owner knows it. */
+/** How a claimed request ended, as reported by the instance that owns the claim. */
 export interface Outcome {
   readonly key: string
   readonly requestId: string
-  /** Offset of the claim that it settles. */
+  /** Log offset of the claim that this outcome belongs to. */
   readonly claimOffset: number
-  /** NotRun gives the key free again; the others keep it taken. */
+  /** NotRun releases the key; every other verdict keeps it taken. */
   readonly verdict: Verdict
 }
 
-/** Body of a claims record and of an outcomes record; the latter has no claims. */
+/** Body of a claims record or an outcomes record; the latter has no claims. */
 export interface ClaimsRecord {
   readonly instance: string
-  /** Drawn anew at each start of the instance. */
+  /** New at each start of the instance. */
   readonly incarnation: string
   readonly claims: readonly Claim[]
   readonly outcomes: readonly Outcome[]
 }
 
-/** What the fold made of one claim. */
+/** How the fold decided on one claim. */
 export enum ClaimDecision {
-  /** The first under its key; its owner may send. */
+  /** The first claim under its key; its owner may send the request. */
   Won = 'won',
-  /** Another claim stands under the key. */
+  /** Another claim holds the key. */
   Lost = 'lost',
-  /** Another claim stands under the key, with another body. */
+  /** Another claim holds the key, for a request with another body. */
   KeyReused = 'key-reused',
-  /** The key is so old that a claim under it may have left the log. */
+  /** The key is so old that an earlier claim under it may have expired from the log. */
   Expired = 'expired',
-  /** The key is dated later than the platform's clock allows. */
+  /** The key's creation time is too far ahead of the platform's clock. */
   Ahead = 'ahead'
 }
 
@@ -56,9 +56,9 @@
   readonly offset: number
   readonly instance: string
   readonly incarnation: string
-  /** The platform's clock, milliseconds of Unix time. */
+  /** Milliseconds of Unix time on the platform's clock. */
   readonly appendedAt: number
-  /** Undefined while the owner has not told; may then stay so for ever. */
+  /** Undefined until the owner reports an outcome; stays undefined if the owner dies first. */
   readonly verdict: Verdict | undefined
 }
 
@@ -66,11 +66,11 @@
   readonly claim: Claim
   readonly offset: number
   readonly decision: ClaimDecision
-  /** The claim that now holds the key, if any. */
+  /** The claim that holds the key after this decision, if any. */
   readonly standing: StandingClaim | undefined
 }
 
-/** Keys of different client accounts never meet. */
+/** Joins account and key, so that equal keys of different client accounts do not collide. */
 export function claimKey (account: string, idempotencyKey: string): string {
   return JSON.stringify([account, idempotencyKey])
 }
@@ -83,8 +83,8 @@
 })
 
 /**
- * Checks a record's body. A malformed one is passed over by every reader alike;
- * without the check it would stop each instance that reads the log.
+ * Validates a record's body. Every reader skips a malformed record; without the
+ * check it would crash each instance that reads the log.
  */
 export function readClaimsRecord (body: unknown): Maybe<ClaimsRecord> {
   const parsed = claimsRecord.safeParse(body)
--- a/packages/foxtaillever-fleet/src/claims/claimBatch.ts
+++ b/packages/foxtaillever-fleet/src/claims/claimBatch.ts
@@ -1,15 +1,15 @@
 /**
- * Claims and outcomes that wait for the next append. One record carries many,
- * since the log takes only several hundred appends a second from all instances
- * together.
+ * Claims and outcomes that wait for the next append. One record carries many of
+ * them, since the log accepts only several hundred appends a second from all
+ * instances together.
  */
 import type { Claim, Outcome } from './claim.js'
 
-/** Entries in one record at most; keeps a record well below a megabyte. */
-const RECORD_ENTRIES = 1000
+/** Limits the claims and the outcomes in one record; keeps the record well below a megabyte. */
+const MAX_RECORD_ENTRIES = 1000
 
-/** Outcomes kept while the log is down; the oldest go first, and their requests stay "may have run". */
-const OUTCOMES_KEPT = 10_000
+/** Outcomes buffered while the log is down; the oldest are dropped first, and their requests stay "may have run". */
+const MAX_BUFFERED_OUTCOMES = 10_000
 
 export class ClaimBatch {
   private readonly claims = new Map<string, Claim>()
@@ -26,10 +26,10 @@
   }
 
   addOutcomes (outcomes: readonly Outcome[]): void {
-    this.outcomes = [...this.outcomes, ...outcomes].slice(-OUTCOMES_KEPT)
+    this.outcomes = [...this.outcomes, ...outcomes].slice(-MAX_BUFFERED_OUTCOMES)
   }
 
-  /** A claim that no append has taken can be withdrawn; true when it was still here. */
+  /** Withdraws a claim that no append has taken yet; returns whether it was still in the batch. */
   withdraw (requestId: string): boolean {
     return this.claims.delete(requestId)
   }
@@ -43,12 +43,12 @@
   }
 
   takeClaims (): Claim[] {
-    const taken = [...this.claims.values()].slice(0, RECORD_ENTRIES)
+    const taken = [...this.claims.values()].slice(0, MAX_RECORD_ENTRIES)
     taken.forEach(claim => this.claims.delete(claim.requestId))
     return taken
   }
 
   takeOutcomes (): Outcome[] {
-    return this.outcomes.splice(0, RECORD_ENTRIES)
+    return this.outcomes.splice(0, MAX_RECORD_ENTRIES)
   }
 }
--- a/packages/foxtaillever-fleet/src/claims/claimKeeper.ts
+++ b/packages/foxtaillever-fleet/src/claims/claimManager.ts
@@ -1,8 +1,8 @@
 /**
  * Claims of one instance. A request is granted only when its claim has been
  * read back from the log and folded as the winner; until then nothing is sent.
- * An append whose answer was lost is looked for in the log, never decided by
- * guessing.
+ * Whether an append whose answer was lost took effect is found by reading the
+ * log, never guessed.
  */
 import {
   Failure, FailureCode, RecordKind, Verdict, waitUntil,
@@ -16,108 +16,108 @@
 import { refuseClaim } from './refuseClaim.js'
 
 export interface ClaimRequest extends Claim {
-  /** The request's own, milliseconds of Unix time. */
+  /** Deadline of the request, milliseconds of Unix time. */
   readonly deadline: number
 }
 
-export interface ClaimKeeperOptions {
+export interface ClaimManagerOptions {
   readonly instance: string
   /** Must differ at each start of the instance. */
   readonly incarnation: string
   /** How long claims are collected for one append, milliseconds. */
   readonly claimWindowMs: number
-  /** How long outcomes may wait for a claim to travel with, milliseconds. */
+  /** How long outcomes wait for a claim to share an append with, milliseconds. */
   readonly outcomeWindowMs: number
-  /** How long a request waits for its claim at most, milliseconds. */
+  /** Maximum time that a request waits for its claim, milliseconds. */
   readonly claimWaitMs: number
 }
 
 export const defaultClaimOptions = {
-  // 9 instances at one append per 20 ms are 450 a second at the very most.
+  // 9 instances at one append per 20 ms make at most 450 appends a second.
   claimWindowMs: 20,
   outcomeWindowMs: 1000,
   claimWaitMs: 3000
 }
 
-/** An append without an answer for this long counts as one whose answer was lost, milliseconds. */
+/** After this time without an answer, the answer of an append counts as lost, milliseconds. */
 const APPEND_WAIT_MS = 1000
 
-/** An append that has not turned up by then is not expected any more, milliseconds. */
-const ABANDONED_KEPT_MS = 600_000
+/** How long an abandoned claim may still appear in the log, milliseconds. */
+const ABANDONED_RETENTION_MS = 600_000
 
-/** A caller whose claim was not confirmed comes back after this, milliseconds: a lost answer of the log is noticed by then. */
-const RETURN_AFTER_MS = APPEND_WAIT_MS
+/** A caller whose claim was not confirmed may retry after this, milliseconds: a lost answer of the log is detected by then. */
+const RETRY_AFTER_MS = APPEND_WAIT_MS
 
 /** Pause after a refused append, milliseconds. */
 const APPEND_PAUSE_MS = 100
 
-interface Waiting {
+interface PendingClaim {
   readonly request: ClaimRequest
   readonly resolve: (result: Either<Failure, Grant>) => void
   readonly cancelTimer: Cancellation
 }
 
-type Decide = (waiting: Waiting, decided: DecidedClaim) => Either<Failure, Grant>
+type ResolveDecision = (pending: PendingClaim, decided: DecidedClaim) => Either<Failure, Grant>
 
-export class ClaimKeeper {
+export class ClaimManager {
   private readonly batch = ClaimBatch.create()
-  private readonly waiting = new Map<string, Waiting>()
-  /** Given up after an append that may have taken effect, each with the instant until which it may turn up. */
+  private readonly pending = new Map<string, PendingClaim>()
+  /** Claims abandoned after an append that may have taken effect, each with the time until which it may appear in the log. */
   private readonly abandoned = new Map<string, number>()
   private isStopped = false
   private isAppending = false
   private cancelAppend: Cancellation | undefined
   private appendAt = Number.POSITIVE_INFINITY
   private pausedUntil = 0
-  private records = 0
+  private recordCount = 0
 
   private constructor (
     private readonly log: Log,
     private readonly fold: ClaimFold,
     private readonly clock: Clock,
-    private readonly options: ClaimKeeperOptions
+    private readonly options: ClaimManagerOptions
   ) {}
 
-  static create (log: Log, fold: ClaimFold, clock: Clock, options: ClaimKeeperOptions): ClaimKeeper {
-    return new ClaimKeeper(log, fold, clock, options)
+  static create (log: Log, fold: ClaimFold, clock: Clock, options: ClaimManagerOptions): ClaimManager {
+    return new ClaimManager(log, fold, clock, options)
   }
 
-  /** Given to the log reader, for records that left the log unread. */
-  cover (page: LogPage): void {
-    this.fold.cover(page)
+  /** Gap listener of the log reader: accounts for records that expired unread. */
+  updateCoverage (page: LogPage): void {
+    this.fold.updateCoverage(page)
   }
 
-  /** Given to the log reader. */
-  read (record: LogRecord): void {
-    const decided = this.fold.read(record)
+  /** Record reader of the log reader. */
+  applyRecord (record: LogRecord): void {
+    const decided = this.fold.applyRecord(record)
     const body = record.body as ClaimsRecord
     if (decided.length > 0 && body.incarnation === this.options.incarnation) {
-      decided.forEach(claim => this.conclude(claim))
+      decided.forEach(claim => this.handleDecision(claim))
     }
   }
 
-  /** Resolves with a grant only when the claim stands in the log as the winner. */
+  /** Resolves with a grant only when the claim has won in the log. */
   claim (request: ClaimRequest): Promise<Either<Failure, Grant>> {
-    const refusal = this.refuseAtOnce(request)
+    const refusal = this.refuseEarly(request)
     if (refusal) {
       return Promise.resolve(Left(refusal))
     }
     return new Promise(resolve => {
-      const giveUpAt = Math.min(request.deadline, this.clock.now() + this.options.claimWaitMs)
-      const cancelTimer = this.clock.at(giveUpAt, () => this.giveUp(request.requestId))
-      this.waiting.set(request.requestId, { request, resolve, cancelTimer })
+      const expiresAt = Math.min(request.deadline, this.clock.now() + this.options.claimWaitMs)
+      const cancelTimer = this.clock.at(expiresAt, () => this.abandonRequest(request.requestId))
+      this.pending.set(request.requestId, { request, resolve, cancelTimer })
       const { key, requestId, digest, createdAt } = request
       this.batch.addClaim({ key, requestId, digest, createdAt })
       this.schedule()
     })
   }
 
-  /** The caller has left: its claim is withdrawn or, if it may stand, freed. */
+  /** The caller has disconnected: its claim is withdrawn, or released if it may be in the log. */
   cancel (requestId: string): void {
-    this.giveUp(requestId)
+    this.abandonRequest(requestId)
   }
 
-  /** Tells all instances how a granted request ended; later calls change nothing. */
+  /** Records for all instances how a granted request ended; later calls have no effect. */
   settle (grant: Grant, verdict: Verdict): void {
     if (grant.close()) {
       this.addOutcome(grant.claim, grant.offset, verdict)
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Writes the last outcomes, at the latest until the deadline; what is not
-   * written stays "may have run" for all others.
+   * Writes the remaining outcomes until the deadline; a request whose outcome is
+   * not written stays "may have run" for all other instances.
    */
   async stop (deadline: number): Promise<void> {
     while ((this.isAppending || !this.batch.isEmpty()) && this.clock.now() < deadline) {
@@ -137,7 +137,7 @@
     this.cancelAppend?.()
   }
 
-  /** Appends without waiting for a claim to travel with. */
+  /** Appends at once, without pending for more claims. */
   private flush (): void {
     const now = this.clock.now()
     if (!this.isAppending && !this.batch.isEmpty() && now >= this.pausedUntil) {
@@ -146,12 +146,12 @@
     }
   }
 
-  /** Requests that wait for their claim. */
-  size (): number {
-    return this.waiting.size
+  /** Number of requests that wait for their claim. */
+  pendingCount (): number {
+    return this.pending.size
   }
 
-  private refuseAtOnce (request: ClaimRequest): Failure | undefined {
+  private refuseEarly (request: ClaimRequest): Failure | undefined {
     if (this.clock.now() >= request.deadline) {
       return Failure.notRun(FailureCode.DeadlinePassed, 'The deadline passed before the request was claimed.')
     }
@@ -163,11 +163,11 @@
     return this.fold.isExpired(request.createdAt) ? refuseClaim(ClaimDecision.Expired) : undefined
   }
 
-  private conclude (decided: DecidedClaim): void {
+  private handleDecision (decided: DecidedClaim): void {
     const { claim, offset, decision } = decided
-    const waiting = this.waiting.get(claim.requestId)
-    if (waiting) {
-      this.finish(waiting, decisions[decision](waiting, decided))
+    const pending = this.pending.get(claim.requestId)
+    if (pending) {
+      this.resolvePending(pending, resultByDecision[decision](pending, decided))
       return
     }
     if (this.abandoned.delete(claim.requestId) && decision === ClaimDecision.Won) {
@@ -175,25 +175,25 @@
     }
   }
 
-  private finish (waiting: Waiting, result: Either<Failure, Grant>): void {
-    waiting.cancelTimer()
-    this.waiting.delete(waiting.request.requestId)
-    waiting.resolve(result)
+  private resolvePending (pendingClaim: PendingClaim, result: Either<Failure, Grant>): void {
+    pendingClaim.cancelTimer()
+    this.pending.delete(pendingClaim.request.requestId)
+    pendingClaim.resolve(result)
   }
 
-  private giveUp (requestId: string): void {
-    const waiting = this.waiting.get(requestId)
-    if (!waiting) {
+  private abandonRequest (requestId: string): void {
+    const pending = this.pending.get(requestId)
+    if (!pending) {
       return
     }
     if (!this.batch.withdraw(requestId)) {
-      this.abandon(requestId)
+      this.rememberAbandoned(requestId)
     }
-    const retryAt = this.clock.now() + RETURN_AFTER_MS
-    this.finish(waiting, Left(Failure.notRun(FailureCode.LogUnavailable, 'The log did not confirm the claim in time; nothing was sent.', retryAt)))
+    const retryAt = this.clock.now() + RETRY_AFTER_MS
+    this.resolvePending(pending, Left(Failure.notRun(FailureCode.LogUnavailable, 'The log did not confirm the claim in time; nothing was sent.', retryAt)))
   }
 
-  private abandon (requestId: string): void {
+  private rememberAbandoned (requestId: string): void {
     const now = this.clock.now()
     for (const [id, until] of this.abandoned) {
       if (until > now) {
@@ -201,7 +201,7 @@
       }
       this.abandoned.delete(id)
     }
-    this.abandoned.set(requestId, now + ABANDONED_KEPT_MS)
+    this.abandoned.set(requestId, now + ABANDONED_RETENTION_MS)
   }
 
   private addOutcome (claim: Claim, claimOffset: number, verdict: Verdict): void {
@@ -214,13 +214,13 @@
       return
     }
     const windowMs = this.batch.hasClaims() ? this.options.claimWindowMs : this.options.outcomeWindowMs
-    const wanted = Math.max(this.clock.now() + windowMs, this.pausedUntil)
-    if (wanted >= this.appendAt) {
+    const appendTime = Math.max(this.clock.now() + windowMs, this.pausedUntil)
+    if (appendTime >= this.appendAt) {
       return
     }
     this.cancelAppend?.()
-    this.appendAt = wanted
-    this.cancelAppend = this.clock.at(wanted, () => this.append())
+    this.appendAt = appendTime
+    this.cancelAppend = this.clock.at(appendTime, () => this.append())
   }
 
   private async append (): Promise<void> {
@@ -233,7 +233,7 @@
     this.isAppending = true
     const result = await this.appendOnce(claims, outcomes)
     this.isAppending = false
-    result.ifLeft(failure => this.takeBack(failure, claims, outcomes))
+    result.ifLeft(failure => this.requeueAfterFailure(failure, claims, outcomes))
     this.schedule()
   }
 
@@ -241,7 +241,7 @@
     const { instance, incarnation } = this.options
     const body: ClaimsRecord = { instance, incarnation, claims, outcomes }
     const kind = claims.length > 0 ? RecordKind.Claims : RecordKind.Outcomes
-    const appended = this.log.append({ id: `${incarnation}/${this.records++}`, kind, writtenAt: this.clock.now(), body })
+    const appended = this.log.append({ id: `${incarnation}/${this.recordCount++}`, kind, writtenAt: this.clock.now(), body })
     return new Promise(resolve => {
       const cancel = this.clock.at(this.clock.now() + APPEND_WAIT_MS, () => {
         resolve(Left(Failure.create(FailureCode.LogUnavailable, Verdict.MayHaveRun, 'The log did not answer an append.')))
@@ -254,11 +254,11 @@
   }
 
   /**
-   * After a refused append all goes back. After a lost answer the claims may
-   * stand in the log: they are waited for. Outcomes are written again, since a
-   * second one changes nothing.
+   * After a refused append, claims and outcomes go back into the batch. After a
+   * lost answer the claims may be in the log, so they are not appended again.
+   * Outcomes always are, since a repeated outcome has no effect.
    */
-  private takeBack (failure: Failure, claims: Claim[], outcomes: Outcome[]): void {
+  private requeueAfterFailure (failure: Failure, claims: Claim[], outcomes: Outcome[]): void {
     this.pausedUntil = Math.max(failure.retryAt ?? 0, this.clock.now() + APPEND_PAUSE_MS)
     this.batch.addOutcomes(outcomes)
     if (failure.verdict === Verdict.NotRun) {
@@ -267,10 +267,10 @@
   }
 }
 
-const refuse: Decide = (_, { decision, standing }) =>
+const refuse: ResolveDecision = (_, { decision, standing }) =>
   Left(refuseClaim(decision as Exclude<ClaimDecision, ClaimDecision.Won>, standing))
 
-const decisions: Record<ClaimDecision, Decide> = {
+const resultByDecision: Record<ClaimDecision, ResolveDecision> = {
   [ClaimDecision.Won]: ({ request }, { claim, offset }) => Right(Grant.create(claim, offset, request.deadline)),
   [ClaimDecision.Lost]: refuse,
   [ClaimDecision.KeyReused]: refuse,
--- a/packages/foxtaillever-fleet/src/claims/grant.ts
+++ b/packages/foxtaillever-fleet/src/claims/grant.ts
@@ -1,6 +1,6 @@
 /**
- * The leave to send one non-idempotent request. It is used for one sending at
- * a time, checked against its stored deadline just before the first byte.
+ * The permission to send one non-idempotent request. It is used for one attempt
+ * at a time and checked against its deadline just before the first byte is sent.
  */
 import { Failure, FailureCode, Verdict, type Clock } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
@@ -8,7 +8,7 @@
 
 enum GrantState {
   Free = 'free',
-  /** A sending is under way or has ended without proof that it did not run. */
+  /** An attempt is in flight, or has ended without proof that it did not run. */
   InUse = 'in-use',
   Settled = 'settled'
 }
@@ -22,7 +22,7 @@
     return new Grant(claim, offset, deadline)
   }
 
-  /** Called right before the first byte leaves; a paused process finds its time over. */
+  /** Called right before the first byte is sent; fails if the process was paused beyond the deadline. */
   use (clock: Clock): Either<Failure, void> {
     if (this.state !== GrantState.Free) {
       return Left(Failure.create(FailureCode.Internal, Verdict.MayHaveRun, 'The claim of this request has been used.'))
@@ -34,14 +34,14 @@
     return Right(undefined)
   }
 
-  /** The last sending is proven not to have run; another backend server may be tried. */
-  giveBack (): void {
+  /** The last attempt is proven not to have run, so another one may follow. */
+  release (): void {
     if (this.state === GrantState.InUse) {
       this.state = GrantState.Free
     }
   }
 
-  /** No sending can follow. False when it was settled before. */
+  /** Allows no further attempt. Returns false when the grant was closed before. */
   close (): boolean {
     const isFirst = this.state !== GrantState.Settled
     this.state = GrantState.Settled
--- a/packages/foxtaillever-fleet/src/index.ts
+++ b/packages/foxtaillever-fleet/src/index.ts
@@ -1,7 +1,7 @@
 /** Public surface of what instances share. */
 export * from './claims/claim.js'
 export * from './claims/claimFold.js'
-export * from './claims/claimKeeper.js'
+export * from './claims/claimManager.js'
 export * from './claims/grant.js'
 export * from './claims/keyCreation.js'
 export * from './configuration/change.js'
--- a/packages/foxtaillever-proof/src/world/entry.ts
+++ b/packages/foxtaillever-proof/src/world/entry.ts
@@ -3,7 +3,7 @@
  * reader, on a clock of its own.
  */
 import { SeededRandom, type Engine, type ListedInstance } from 'foxtaillever-core'
-import { ClaimFold, ClaimKeeper, ConfigurationStore, defaultClaimOptions, LeaseFold, LeaseHolder, LogReader, LEASE_MARGIN_MS, SnapshotWriter, type FoldedConfiguration } from 'foxtaillever-fleet'
+import { ClaimFold, ClaimManager, ConfigurationStore, defaultClaimOptions, LeaseFold, LeaseHolder, LogReader, LEASE_MARGIN_MS, SnapshotWriter, type FoldedConfiguration } from 'foxtaillever-fleet'
 import { Invariants, RouterCore, Safeguard, type Safeguards } from 'foxtaillever-router'
 import { LocalLog, type LogModel } from 'foxtaillever-standins'
 import type { VirtualClock } from 'foxtaillever-testing/virtualClock'
@@ -50,8 +50,8 @@
     this.clock = HeldClock.create(world, clockError)
     this.random = SeededRandom.create(seed)
     this.log = LocalLog.create(logModel, this.clock, world)
-    const fold = ClaimFold.create({ keptMs: retentionMs, logRetentionMs: retentionMs })
-    const claims = ClaimKeeper.create(this.log, fold, this.clock, { ...defaultClaimOptions, instance: name, incarnation })
+    const fold = ClaimFold.create({ claimRetentionMs: retentionMs, logRetentionMs: retentionMs })
+    const claims = ClaimManager.create(this.log, fold, this.clock, { ...defaultClaimOptions, instance: name, incarnation })
     const { random } = this
     const marginMs = safeguards[Safeguard.FencingMargin] ? LEASE_MARGIN_MS : 0
     this.holder = LeaseHolder.create({
@@ -69,10 +69,10 @@
     })
     this.snapshots = SnapshotWriter.create(this.log, this.store, this.clock, random, retentionMs)
     this.reader = LogReader.create(this.log, this.clock,
-      [this.store.take, this.snapshots.take, record => claims.read(record), record => this.holder.read(record)],
+      [this.store.take, this.snapshots.take, record => claims.applyRecord(record), record => this.holder.read(record)],
       (first, page) => {
         this.store.noteFirstKept(first)
-        claims.cover(page)
+        claims.updateCoverage(page)
       })
     this.store.onChange(({ configuration }) => this.core.configure(configuration))
   }
--- a/packages/foxtaillever-router/src/core/attempts.ts
+++ b/packages/foxtaillever-router/src/core/attempts.ts
@@ -245,7 +245,7 @@
     row.isSent = false
     row.start = undefined
     if (verdict === Verdict.NotRun) {
-      row.grant?.giveBack()
+      row.grant?.release()
       row.isUnproven = row.verdict !== Verdict.NotRun
     } else if (row.submission.job.idempotent) {
       // It may still be at work there, for nobody.
--- a/packages/foxtaillever-router/src/instance/entryInstance.ts
+++ b/packages/foxtaillever-router/src/instance/entryInstance.ts
@@ -5,7 +5,7 @@
 import { randomUUID } from 'node:crypto'
 import { SeededRandom, SystemClock, waitUntil, type Clock, type Configuration, type Random } from 'foxtaillever-core'
 import { Operators } from 'foxtaillever-control'
-import { ClaimFold, ClaimKeeper, createPeerRouter, defaultClaimOptions, Fleet, KeyRing, Permission, TrpcPeers, UdpDatagrams, type Key } from 'foxtaillever-fleet'
+import { ClaimFold, ClaimManager, createPeerRouter, defaultClaimOptions, Fleet, KeyRing, Permission, TrpcPeers, UdpDatagrams, type Key } from 'foxtaillever-fleet'
 import { InstanceListClient } from '../adapters/instanceListClient.js'
 import { LogClient } from '../adapters/logClient.js'
 import { Accounts } from '../callers/accounts.js'
@@ -59,7 +59,7 @@
   private readonly list: InstanceListClient
   private readonly datagrams: UdpDatagrams
   private readonly telemetry: Telemetry
-  private readonly claims: ClaimKeeper
+  private readonly claims: ClaimManager
   private readonly fleet: Fleet
   private readonly core: RouterCore
   private readonly orders: Orders
@@ -100,10 +100,10 @@
     return new EntryInstance(options)
   }
 
-  private createClaims (): ClaimKeeper {
+  private createClaims (): ClaimManager {
     const { name, logRetentionMs, claimKeptMs } = this.options
-    const fold = ClaimFold.create({ keptMs: claimKeptMs, logRetentionMs })
-    return ClaimKeeper.create(this.log, fold, this.clock, { ...defaultClaimOptions, instance: name, incarnation: `${name}/${randomUUID()}` })
+    const fold = ClaimFold.create({ claimRetentionMs: claimKeptMs, logRetentionMs })
+    return ClaimManager.create(this.log, fold, this.clock, { ...defaultClaimOptions, instance: name, incarnation: `${name}/${randomUUID()}` })
   }
 
   private createOrders (): Orders {
@@ -129,8 +129,8 @@
       keys,
       clock,
       random,
-      readers: [record => this.claims.read(record), record => this.orders.read(record)],
-      onGap: (_, page) => this.claims.cover(page)
+      readers: [record => this.claims.applyRecord(record), record => this.orders.read(record)],
+      onGap: (_, page) => this.claims.updateCoverage(page)
     })
   }
 
