--- a/packages/foxtaillever-fleet/src/leases/__tests__/lease.test.ts
+++ b/packages/foxtaillever-fleet/src/leases/__tests__/lease.test.ts
@@ -22,7 +22,7 @@
     const holder = LeaseHolder.create({
       name: 'orders', instance: name, incarnation: name, log, fold: LeaseFold.create(), clock: this.clock, random: this.random, isCandidate: () => true
     })
-    LogReader.create(log, this.clock, [record => holder.read(record)]).start()
+    LogReader.create(log, this.clock, [record => holder.applyRecord(record)]).start()
     const member = { holder, log, isPaused: false }
     const tick = (): void => {
       if (!member.isPaused) {
@@ -34,14 +34,14 @@
     return member
   }
 
-  /** Moves on in small steps; returns the most holders seen at once. */
-  async pass (milliseconds: number, members: ReadonlyArray<{ holder: LeaseHolder }>): Promise<number> {
-    let most = 0
+  /** Advances the clock in small steps; returns the maximum number of holders seen at once. */
+  async advance (milliseconds: number, members: ReadonlyArray<{ holder: LeaseHolder }>): Promise<number> {
+    let maxHolders = 0
     for (let passed = 0; passed < milliseconds; passed += TICK_MS) {
       await this.clock.advanceBy(TICK_MS)
-      most = Math.max(most, members.filter(({ holder }) => holder.isHeld()).length)
+      maxHolders = Math.max(maxHolders, members.filter(({ holder }) => holder.isHeld()).length)
     }
-    return most
+    return maxHolders
   }
 }
 
@@ -49,46 +49,46 @@
   it('are held by one instance at a time and renewed', async t => {
     const fleet = LeaseFleet.create()
     const members = ['a', 'b', 'c'].map(name => fleet.start(name))
-    t.is(await fleet.pass(3 * LEASE_TERM_MS, members), 1)
+    t.is(await fleet.advance(3 * LEASE_TERM_MS, members), 1)
     t.is(members.filter(({ holder }) => holder.isHeld()).length, 1)
   })
 
-  it('pass on after the holder is cut off, without an overlap', async t => {
-    // A switch died: the holder reaches backend servers but not the log. It
-    // must stop by itself before another instance may give orders.
+  it('pass to another instance after the holder is cut off, without an overlap', async t => {
+    // The holder is cut off from the log but still reaches backend servers. It
+    // must stop by itself before another instance may send orders.
     const fleet = LeaseFleet.create()
     const members = ['a', 'b'].map(name => fleet.start(name))
-    await fleet.pass(1000, members)
+    await fleet.advance(1000, members)
     const first = members.find(({ holder }) => holder.isHeld())
     const other = members.find(member => member !== first)
     if (!first || !other) {
-      return t.fail('No one holds the lease.')
+      return t.fail('No instance holds the lease.')
     }
-    const firstFence = first.holder.check().orDefault(0)
+    const firstFence = first.holder.checkLease().orDefault(0)
     first.log.isCut = true
-    t.is(await fleet.pass(3 * LEASE_TERM_MS, members), 1)
+    t.is(await fleet.advance(3 * LEASE_TERM_MS, members), 1)
     t.false(first.holder.isHeld())
-    t.true(other.holder.check().orDefault(0) > firstFence)
+    t.true(other.holder.checkLease().orDefault(0) > firstFence)
   })
 
-  it('are over for a holder that wakes from a long pause', async t => {
-    // The process was stopped for 15 s; another one gives orders since. The
-    // clock's check before the byte tells it, before any news from the log.
+  it('are over for a holder that resumes after a long pause', async t => {
+    // The process was suspended for 15 s and another one sends orders since. The
+    // check of the clock before the first byte detects this without the log.
     const fleet = LeaseFleet.create()
     const member = fleet.start('a')
-    await fleet.pass(1000, [member])
+    await fleet.advance(1000, [member])
     t.true(member.holder.isHeld())
     member.isPaused = true
     member.log.isCut = true
     await fleet.clock.advanceBy(15_000)
-    t.true(member.holder.check().isLeft())
+    t.true(member.holder.checkLease().isLeft())
   })
 
-  it('are found again when the answer of the append was lost', async t => {
+  it('are found in the log when the answer of the append was lost', async t => {
     const fleet = LeaseFleet.create()
     fleet.model.setFaults({ lostAnswers: 1 })
     const member = fleet.start('a')
-    await fleet.pass(300, [member])
+    await fleet.advance(300, [member])
     t.true(member.holder.isHeld())
   })
 })
--- a/packages/foxtaillever-fleet/src/leases/wantedState.ts
+++ b/packages/foxtaillever-fleet/src/leases/desiredOrders.ts
@@ -1,7 +1,7 @@
 /**
  * What operators want backend servers to have loaded, folded from the log. An
- * order is a wanted state and not an act: it is observed, and given again until
- * it holds, so that a late duplicate or a restarted engine is put right.
+ * order describes a desired state: it is sent again until the server is seen in
+ * that state, so that a late duplicate or a restarted engine is corrected.
  */
 import { EngineRole, OrderKind, RecordKind, type EngineOrder, type EngineState, type LogRecord } from 'foxtaillever-core'
 import { Maybe } from 'purify-ts'
@@ -14,8 +14,8 @@
   readonly order: EngineOrder
 }
 
-export interface Want extends OrderRecord {
-  /** Log offset; later wants of the same part replace earlier ones. */
+export interface DesiredOrder extends OrderRecord {
+  /** Log offset; a later order for the same part replaces an earlier one. */
   readonly offset: number
 }
 
@@ -32,57 +32,57 @@
   ])
 })
 
-/** Orders of the same part of an engine exclude each other. */
-const parts: Record<OrderKind, (order: EngineOrder) => string> = {
+/** The part of an engine that an order changes; a later order for the same part replaces an earlier one. */
+const partOf: Record<OrderKind, (order: EngineOrder) => string> = {
   [OrderKind.LoadModel]: () => 'weights',
   [OrderKind.LoadVersion]: () => 'weights',
   [OrderKind.LoadAdapter]: order => `adapter ${(order as { adapter: string }).adapter}`,
   [OrderKind.ChangeRole]: () => 'role'
 }
 
-type Tests = { [Kind in OrderKind]: (state: EngineState, order: Extract<EngineOrder, { kind: Kind }>) => boolean }
+type FulfilmentChecks = { [Kind in OrderKind]: (state: EngineState, order: Extract<EngineOrder, { kind: Kind }>) => boolean }
 
-const tests: Tests = {
+const fulfilmentChecks: FulfilmentChecks = {
   [OrderKind.LoadModel]: (state, order) => state.models.includes(order.model) && state.weightsVersion === order.weightsVersion,
   [OrderKind.LoadVersion]: (state, order) => state.weightsVersion === order.weightsVersion,
   [OrderKind.LoadAdapter]: (state, order) => state.adapters.includes(order.adapter),
   [OrderKind.ChangeRole]: (state, order) => state.role === order.role
 }
 
-/** Whether an engine is seen in the state that an order wants. */
-export function isObserved (state: EngineState, order: EngineOrder): boolean {
-  const test = tests[order.kind] as (state: EngineState, order: EngineOrder) => boolean
-  return test(state, order)
+/** Whether an engine's state is the one that the order describes. */
+export function isFulfilled (state: EngineState, order: EngineOrder): boolean {
+  const check = fulfilmentChecks[order.kind] as (state: EngineState, order: EngineOrder) => boolean
+  return check(state, order)
 }
 
-/** Orders that take from the rate-limited weight store. */
+/** Whether the order loads from the rate-limited weight store. */
 export function isLoad ({ kind }: EngineOrder): boolean {
   return kind === OrderKind.LoadModel || kind === OrderKind.LoadVersion
 }
 
-export class WantFold {
-  private readonly wants = new Map<string, Want>()
+export class DesiredOrders {
+  private readonly byPart = new Map<string, DesiredOrder>()
 
   private constructor () {}
 
-  static create (): WantFold {
-    return new WantFold()
+  static create (): DesiredOrders {
+    return new DesiredOrders()
   }
 
-  /** Folds the next record; the later of two racing orders counts everywhere. */
-  readonly read = (record: LogRecord): void => {
+  /** Folds the next record; of two racing orders the later one counts on every instance. */
+  readonly applyRecord = (record: LogRecord): void => {
     if (record.kind !== RecordKind.Order) {
       return
     }
     Maybe.fromNullable(orderRecord.safeParse(record.body).data).ifJust(body => {
-      const key = `${body.server} ${parts[body.order.kind](body.order)}`
-      // Set anew, so that wants stand in the order of the log.
-      this.wants.delete(key)
-      this.wants.set(key, { ...body, offset: record.offset })
+      const key = `${body.server} ${partOf[body.order.kind](body.order)}`
+      // Deleted first, so that the map keeps orders in the order of the log.
+      this.byPart.delete(key)
+      this.byPart.set(key, { ...body, offset: record.offset })
     })
   }
 
-  all (): readonly Want[] {
-    return [...this.wants.values()]
+  all (): readonly DesiredOrder[] {
+    return [...this.byPart.values()]
   }
 }
--- a/packages/foxtaillever-fleet/src/leases/lease.ts
+++ b/packages/foxtaillever-fleet/src/leases/lease.ts
@@ -1,21 +1,22 @@
 /**
- * Leases in the log. The platform's clock decides when one ends and the next
- * may begin; the holder goes by its own clock, from before its append, and so
- * always stops earlier.
+ * Leases in the log. The platform's clock decides when a lease ends and the next
+ * may begin. The holder measures its term on its own clock from a time before
+ * its append, so it always stops earlier.
  */
 import { Maybe } from 'purify-ts'
 import { z } from 'zod'
 
 /**
- * How long a lease lasts after its append, milliseconds. Long against a log's
- * slow answer, short against the wait for orders after a holder's death.
+ * How long a lease lasts after its append, milliseconds. Much longer than a slow
+ * answer of the log, and short enough that orders do not wait long after a
+ * holder has died.
  */
 export const LEASE_TERM_MS = 10_000
 
 /**
- * A holder stops this long before its lease ends, milliseconds: room for two
- * clocks that run at different rates and for a short pause between the clock's
- * check and the byte.
+ * A holder stops this long before its lease ends, milliseconds: allows for two
+ * clocks that run at different rates and for a short pause between the check of
+ * the clock and the first byte of an order.
  */
 export const LEASE_MARGIN_MS = 2000
 
@@ -23,14 +24,14 @@
 export interface LeaseRecord {
   readonly name: string
   readonly instance: string
-  /** Drawn anew at each start, so that a restarted holder does not inherit its lease. */
+  /** New at each start, so that a restarted holder does not inherit its lease. */
   readonly incarnation: string
 }
 
 export interface Lease extends LeaseRecord {
-  /** Offset of the record that began this tenure; orders carry it, renewals keep it. */
+  /** The fencing number: offset of the record that began this tenure. Orders carry it, renewals keep it. */
   readonly fence: number
-  /** The platform's clock, milliseconds of Unix time. */
+  /** Milliseconds of Unix time on the platform's clock. */
   readonly endsAt: number
 }
 
--- a/packages/foxtaillever-fleet/src/leases/leaseFold.ts
+++ b/packages/foxtaillever-fleet/src/leases/leaseFold.ts
@@ -1,7 +1,8 @@
 /**
- * The deterministic fold of lease records: a name is held by one incarnation
- * until its term is over by the platform's clock. A record that comes too
- * early loses, whoever wrote it, so a predecessor is always waited out.
+ * The deterministic fold of lease records: a lease is held by one incarnation
+ * until its term is over by the platform's clock. A record of another
+ * incarnation before that time has no effect, so a new holder always waits for
+ * its predecessor's term to end.
  */
 import { RecordKind, type LogRecord } from 'foxtaillever-core'
 import { LEASE_TERM_MS, readLeaseRecord, type Lease, type LeaseRecord } from './lease.js'
@@ -19,15 +20,15 @@
     return this.leases.get(name)
   }
 
-  /** Folds the next record; returns the lease when the record began or renewed one. */
-  read (record: LogRecord): Lease | undefined {
+  /** Folds the next record; returns the lease if the record began or renewed one. */
+  applyRecord (record: LogRecord): Lease | undefined {
     if (record.kind !== RecordKind.Lease) {
       return undefined
     }
-    return readLeaseRecord(record.body).map(body => this.readBody(record, body)).extract()
+    return readLeaseRecord(record.body).map(body => this.applyBody(record, body)).extract()
   }
 
-  private readBody (record: LogRecord, body: LeaseRecord): Lease | undefined {
+  private applyBody (record: LogRecord, body: LeaseRecord): Lease | undefined {
     const current = this.leases.get(body.name)
     const isOver = !current || record.appendedAt >= current.endsAt
     if (!isOver && current.incarnation !== body.incarnation) {
--- a/packages/foxtaillever-fleet/src/leases/leaseHolder.ts
+++ b/packages/foxtaillever-fleet/src/leases/leaseHolder.ts
@@ -1,6 +1,6 @@
 /**
- * One instance's side of one lease: asks for it when it seems free, renews it
- * in time, and tells right before each order whether it is still held.
+ * One instance's side of one lease: requests the lease when it seems free,
+ * renews it in time, and checks right before each order whether it is still held.
  */
 import { Failure, FailureCode, RecordKind, Verdict, type Clock, type Log, type LogRecord, type Random } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
@@ -12,26 +12,26 @@
   readonly fold: LeaseFold
   readonly clock: Clock
   readonly random: Random
-  /** Whether this instance should try; lets a computed few do so. */
+  /** Whether this instance should request the lease; limits requests to a computed few instances. */
   readonly isCandidate: () => boolean
-  /** Time kept free before the lease's end; other than the default in tests alone. */
+  /** How long before the lease's end the holder stops, milliseconds; differs from the default only in tests. */
   readonly marginMs?: number
 }
 
-/** Renewed when this much of the term is over, milliseconds; leaves room for two more tries. */
+/** The lease is renewed after this much of its term, milliseconds; leaves time for two more attempts. */
 const RENEW_AFTER_MS = 3000
 
-/** Tries of several instances are spread over this, milliseconds. */
-const SPREAD_MS = 500
+/** Requests of several instances are spread over this time, milliseconds. */
+const JITTER_MS = 500
 
 export class LeaseHolder {
-  /** Own appends that may have taken effect, with the clock's time before each. */
-  private readonly asked = new Map<string, number>()
-  private records = 0
-  private isAsking = false
-  private askAt = 0
+  /** Ids of this instance's appends that may have taken effect, each with the time before the append. */
+  private readonly pendingAppends = new Map<string, number>()
+  private recordCount = 0
+  private isAppending = false
+  private nextAppendAt = 0
   /** Milliseconds of Unix time on this instance's clock. */
-  private stopAt = 0
+  private validUntil = 0
   private fence = 0
 
   private constructor (private readonly options: LeaseHolderOptions) {}
@@ -40,68 +40,68 @@
     return new LeaseHolder(options)
   }
 
-  /** Called right before the byte of an order leaves; gives the fencing number to send with it. */
-  check (): Either<Failure, number> {
-    if (this.options.clock.now() >= this.stopAt) {
-      return Left(Failure.notRun(FailureCode.Stale, 'The lease is not held any more; the order was not sent.'))
+  /** Called right before the first byte of an order is sent; returns the fencing number to send with it. */
+  checkLease (): Either<Failure, number> {
+    if (this.options.clock.now() >= this.validUntil) {
+      return Left(Failure.notRun(FailureCode.Stale, 'The lease is no longer held; the order was not sent.'))
     }
     return Right(this.fence)
   }
 
   isHeld (): boolean {
-    return this.check().isRight()
+    return this.checkLease().isRight()
   }
 
-  /** Given to the log reader, after the fold is up to the record. */
-  read (record: LogRecord): void {
-    const lease = this.options.fold.read(record)
-    const askedAt = this.asked.get(record.id)
-    this.asked.delete(record.id)
+  /** Record reader of the log reader; also updates the fold. */
+  applyRecord (record: LogRecord): void {
+    const lease = this.options.fold.applyRecord(record)
+    const requestedAt = this.pendingAppends.get(record.id)
+    this.pendingAppends.delete(record.id)
     if (lease?.name !== this.options.name) {
       return
     }
     if (lease.incarnation !== this.options.incarnation) {
-      this.waitOut()
+      this.waitForExpiry()
       return
     }
-    if (askedAt !== undefined) {
-      this.hold(lease.fence, askedAt)
+    if (requestedAt !== undefined) {
+      this.extendTerm(lease.fence, requestedAt)
     }
   }
 
-  private hold (fence: number, askedAt: number): void {
+  private extendTerm (fence: number, requestedAt: number): void {
     this.fence = fence
-    this.stopAt = askedAt + LEASE_TERM_MS - (this.options.marginMs ?? LEASE_MARGIN_MS)
-    this.askAt = askedAt + RENEW_AFTER_MS
+    this.validUntil = requestedAt + LEASE_TERM_MS - (this.options.marginMs ?? LEASE_MARGIN_MS)
+    this.nextAppendAt = requestedAt + RENEW_AFTER_MS
   }
 
-  /** The record was read after it was appended, so this instant is late, never early. */
-  private waitOut (): void {
+  /** The record was read after it was appended, so the next append is never too early. */
+  private waitForExpiry (): void {
     const { clock, random } = this.options
-    this.stopAt = 0
-    this.askAt = clock.now() + LEASE_TERM_MS + random.below(SPREAD_MS)
+    this.validUntil = 0
+    this.nextAppendAt = clock.now() + LEASE_TERM_MS + random.below(JITTER_MS)
   }
 
   /** Run at each tick of the loop. */
   tick (now: number): void {
-    if (this.isAsking || now < this.askAt || !this.options.isCandidate()) {
+    if (this.isAppending || now < this.nextAppendAt || !this.options.isCandidate()) {
       return
     }
-    this.ask(now)
+    this.appendRecord(now)
   }
 
-  private async ask (now: number): Promise<void> {
+  private async appendRecord (now: number): Promise<void> {
     const { log, name, instance, incarnation, random, clock } = this.options
-    const id = `${incarnation}/lease/${name}/${this.records++}`
+    const id = `${incarnation}/lease/${name}/${this.recordCount++}`
     const body: LeaseRecord = { name, instance, incarnation }
-    this.asked.set(id, now)
-    this.isAsking = true
+    this.pendingAppends.set(id, now)
+    this.isAppending = true
     const result = await log.append({ id, kind: RecordKind.Lease, writtenAt: now, body })
-    this.isAsking = false
-    this.askAt = Math.max(this.askAt, clock.now() + SPREAD_MS + random.below(SPREAD_MS))
+    this.isAppending = false
+    this.nextAppendAt = Math.max(this.nextAppendAt, clock.now() + JITTER_MS + random.below(JITTER_MS))
     result.ifLeft(failure => {
       if (failure.verdict === Verdict.NotRun) {
-        this.asked.delete(id)
+        this.pendingAppends.delete(id)
       }
     })
   }
--- a/packages/foxtaillever-fleet/src/leases/orderSystem.ts
+++ b/packages/foxtaillever-fleet/src/leases/orderSystem.ts
@@ -1,60 +1,60 @@
 /**
- * Gives orders to backend servers while the lease is held: observes what each
- * has, and orders what is wanted and missing, at most two loads at once in the
- * whole fleet. A predecessor may have begun loads in its last moment, so a new
- * holder looks at every backend server first and counts those that it cannot
- * see as loading for as long as a load may take.
+ * Sends orders to backend servers while the lease is held: polls the state of
+ * each server and sends the desired orders that it does not meet, with at most
+ * two loads at once in the whole fleet. A predecessor may have started loads
+ * just before its lease ended, so a new holder polls every backend server first
+ * and counts unreachable ones as loading for as long as a load may take.
  */
 import { Verdict, type Clock, type EngineOrder, type EngineState, type Failure } from 'foxtaillever-core'
 import type { Either } from 'purify-ts'
 import type { LeaseHolder } from './leaseHolder.js'
-import { isLoad, isObserved, type Want, type WantFold } from './wantedState.js'
+import { isLoad, isFulfilled, type DesiredOrder, type DesiredOrders } from './desiredOrders.js'
 
-/** The narrow interface to backend servers' orders. */
+/** Fetches the state of backend servers and sends orders to them. */
 export interface OrderPort {
-  state: (server: string) => Promise<Either<Failure, EngineState>>
-  /** @param fence asked right before the first byte leaves; its left side holds the byte back. */
-  give: (server: string, order: EngineOrder, fence: () => Either<Failure, number>) => Promise<Either<Failure, void>>
+  fetchState: (server: string) => Promise<Either<Failure, EngineState>>
+  /** @param fence called right before the first byte is sent; if it returns a failure, nothing is sent. */
+  sendOrder: (server: string, order: EngineOrder, fence: () => Either<Failure, number>) => Promise<Either<Failure, void>>
 }
 
 export interface OrderSystemOptions {
   readonly clock: Clock
   readonly holder: LeaseHolder
-  readonly wants: WantFold
+  readonly desiredOrders: DesiredOrders
   readonly port: OrderPort
   /** All backend servers that take orders. */
   readonly servers: () => readonly string[]
 }
 
-export enum WantState {
+export enum FulfilmentState {
   Waiting = 'waiting',
   Sent = 'sent',
   Done = 'done',
   Failed = 'failed'
 }
 
-/** The weight store slows down beyond this. */
-export const LOADS_AT_ONCE = 2
+/** More loads at once slow the weight store down. */
+export const MAX_CONCURRENT_LOADS = 2
 
-/** Between two looks at all backend servers, milliseconds; short against a load of 0.4 s and more. */
-const LOOK_MS = 500
+/** Interval between polls of all backend servers, milliseconds. Loads take 0.4 s and more. */
+const POLL_INTERVAL_MS = 500
 
-/** An operator who asked once asks again within this time, milliseconds. */
-const WATCH_MS = 60_000
+/** How long this instance polls after an operator's query, milliseconds; operators query again within this time. */
+const WATCH_DURATION_MS = 60_000
 
-/** After this a load that was not seen to end counts as lost, milliseconds. */
-const LONGEST_LOAD_MS = 10_000
+/** After this time a load that was not seen to end counts as lost, milliseconds. */
+const MAX_LOAD_DURATION_MS = 10_000
 
 export class OrderSystem {
   private readonly states = new Map<string, EngineState>()
-  /** Servers that may be loading, each until a stored deadline. */
-  private readonly loading = new Map<string, number>()
+  /** Servers that may be loading, each with the time until which it counts as loading. */
+  private readonly loadingUntil = new Map<string, number>()
   private readonly refusals = new Map<number, Failure>()
-  private lookAt = 0
-  private isLooking = false
+  private nextPollAt = 0
+  private isPolling = false
   private fence = 0
   private watchUntil = 0
-  private readonly changes = new Map<number, { readonly state: WantState, readonly at: number }>()
+  private readonly stateChanges = new Map<number, { readonly state: FulfilmentState, readonly at: number }>()
 
   private constructor (private readonly options: OrderSystemOptions) {}
 
@@ -65,133 +65,133 @@
   /** Run at each tick of the loop. */
   tick (now: number): void {
     this.options.holder.tick(now)
-    if (this.isLooking || now < this.lookAt) {
+    if (this.isPolling || now < this.nextPollAt) {
       return
     }
-    this.options.holder.check().caseOf({
+    this.options.holder.checkLease().caseOf({
       Right: fence => {
-        this.lookAt = now + LOOK_MS
-        this.work(fence)
+        this.nextPollAt = now + POLL_INTERVAL_MS
+        this.reconcile(fence)
       },
       Left: () => {
         if (now < this.watchUntil) {
-          this.lookAt = now + LOOK_MS
-          this.observe()
+          this.nextPollAt = now + POLL_INTERVAL_MS
+          this.pollServersWithOrders()
         }
       }
     })
   }
 
-  /** An operator asks here: for a while this instance looks too, whoever holds the lease. */
+  /** Called when an operator queries orders here: this instance polls servers for a while, even without the lease. */
   watch (): void {
-    this.watchUntil = this.options.clock.now() + WATCH_MS
+    this.watchUntil = this.options.clock.now() + WATCH_DURATION_MS
   }
 
-  /** When the state of a want was first seen as it is, milliseconds of Unix time. */
-  changedAt (want: Want): number {
-    const state = this.stateOf(want)
-    const known = this.changes.get(want.offset)
+  /** When the current state of an order was first seen, milliseconds of Unix time. */
+  changedAt (desired: DesiredOrder): number {
+    const state = this.stateOf(desired)
+    const known = this.stateChanges.get(desired.offset)
     if (known?.state === state) {
       return known.at
     }
     const at = this.options.clock.now()
-    this.changes.set(want.offset, { state, at })
+    this.stateChanges.set(desired.offset, { state, at })
     return at
   }
 
-  private async observe (): Promise<void> {
-    this.isLooking = true
-    const wanted = new Set(this.options.wants.all().map(({ server }) => server))
-    await Promise.all([...wanted].map(async server => await this.look(server)))
-    this.isLooking = false
+  private async pollServersWithOrders (): Promise<void> {
+    this.isPolling = true
+    const servers = new Set(this.options.desiredOrders.all().map(({ server }) => server))
+    await Promise.all([...servers].map(async server => await this.pollServer(server)))
+    this.isPolling = false
   }
 
-  private onRefused (want: Want, failure: Failure): void {
-    this.refusals.set(want.offset, failure)
+  private onRefused (desired: DesiredOrder, failure: Failure): void {
+    this.refusals.set(desired.offset, failure)
     if (failure.verdict === Verdict.NotRun) {
-      this.loading.delete(want.server)
+      this.loadingUntil.delete(desired.server)
     }
   }
 
-  stateOf (want: Want): WantState {
-    const state = this.states.get(want.server)
-    if (state && isObserved(state, want.order)) {
-      return WantState.Done
+  stateOf (desired: DesiredOrder): FulfilmentState {
+    const state = this.states.get(desired.server)
+    if (state && isFulfilled(state, desired.order)) {
+      return FulfilmentState.Done
     }
-    if (this.refusals.has(want.offset)) {
-      return WantState.Failed
+    if (this.refusals.has(desired.offset)) {
+      return FulfilmentState.Failed
     }
-    return state?.pendingOrders.some(({ id }) => id === want.order.id) === true ? WantState.Sent : WantState.Waiting
+    return state?.pendingOrders.some(({ id }) => id === desired.order.id) === true ? FulfilmentState.Sent : FulfilmentState.Waiting
   }
 
-  refusalOf (want: Want): Failure | undefined {
-    return this.refusals.get(want.offset)
+  refusalOf (desired: DesiredOrder): Failure | undefined {
+    return this.refusals.get(desired.offset)
   }
 
-  private async work (fence: number): Promise<void> {
-    this.isLooking = true
+  private async reconcile (fence: number): Promise<void> {
+    this.isPolling = true
     if (fence !== this.fence) {
-      this.takeOver(fence)
+      this.beginTenure(fence)
     }
-    await Promise.all(this.options.servers().map(async server => await this.look(server)))
-    for (const want of this.options.wants.all()) {
-      await this.correct(want)
+    await Promise.all(this.options.servers().map(async server => await this.pollServer(server)))
+    for (const desired of this.options.desiredOrders.all()) {
+      await this.reconcileOrder(desired)
     }
-    this.isLooking = false
+    this.isPolling = false
   }
 
-  /** Nothing is known of what the predecessor sent last. */
-  private takeOver (fence: number): void {
+  /** The predecessor's last orders are unknown, so every server counts as loading. */
+  private beginTenure (fence: number): void {
     this.fence = fence
     this.states.clear()
-    this.loading.clear()
-    const until = this.options.clock.now() + LONGEST_LOAD_MS
-    this.options.servers().forEach(server => this.loading.set(server, until))
+    this.loadingUntil.clear()
+    const until = this.options.clock.now() + MAX_LOAD_DURATION_MS
+    this.options.servers().forEach(server => this.loadingUntil.set(server, until))
   }
 
-  private async look (server: string): Promise<void> {
-    const seen = await this.options.port.state(server)
-    seen.caseOf({
+  private async pollServer (server: string): Promise<void> {
+    const result = await this.options.port.fetchState(server)
+    result.caseOf({
       Left: () => { this.states.delete(server) },
       Right: state => {
         this.states.set(server, state)
         if (!state.pendingOrders.some(isLoad)) {
-          this.loading.delete(server)
-        } else if (!this.loading.has(server)) {
-          this.loading.set(server, this.options.clock.now() + LONGEST_LOAD_MS)
+          this.loadingUntil.delete(server)
+        } else if (!this.loadingUntil.has(server)) {
+          this.loadingUntil.set(server, this.options.clock.now() + MAX_LOAD_DURATION_MS)
         }
       }
     })
   }
 
-  private loadsAtOnce (): number {
+  private countLoads (): number {
     const now = this.options.clock.now()
-    for (const [server, until] of this.loading) {
+    for (const [server, until] of this.loadingUntil) {
       if (until <= now) {
-        this.loading.delete(server)
+        this.loadingUntil.delete(server)
       }
     }
-    return this.loading.size
+    return this.loadingUntil.size
   }
 
-  private async correct (want: Want): Promise<void> {
+  private async reconcileOrder (desired: DesiredOrder): Promise<void> {
     const { clock, holder, port } = this.options
-    const state = this.states.get(want.server)
-    // One order at a time for each server: what it says of itself must be fresh.
-    if (!state || state.pendingOrders.length > 0 || isObserved(state, want.order)) {
+    const state = this.states.get(desired.server)
+    // One order at a time for each server, and only on a state polled after the last one.
+    if (!state || state.pendingOrders.length > 0 || isFulfilled(state, desired.order)) {
       return
     }
-    if (isLoad(want.order) && (this.loading.has(want.server) || this.loadsAtOnce() >= LOADS_AT_ONCE)) {
+    if (isLoad(desired.order) && (this.loadingUntil.has(desired.server) || this.countLoads() >= MAX_CONCURRENT_LOADS)) {
       return
     }
-    if (isLoad(want.order)) {
-      this.loading.set(want.server, clock.now() + LONGEST_LOAD_MS)
+    if (isLoad(desired.order)) {
+      this.loadingUntil.set(desired.server, clock.now() + MAX_LOAD_DURATION_MS)
     }
-    const given = await port.give(want.server, want.order, () => holder.check())
-    given
-      .ifLeft(failure => this.onRefused(want, failure))
-      .ifRight(() => this.refusals.delete(want.offset))
-    // Looked at again before anything else is asked of it.
-    this.states.delete(want.server)
+    const result = await port.sendOrder(desired.server, desired.order, () => holder.checkLease())
+    result
+      .ifLeft(failure => this.onRefused(desired, failure))
+      .ifRight(() => this.refusals.delete(desired.offset))
+    // The state must be polled again before the next order.
+    this.states.delete(desired.server)
   }
 }
--- a/packages/foxtaillever-proof/src/world/entry.ts
+++ b/packages/foxtaillever-proof/src/world/entry.ts
@@ -69,7 +69,7 @@
     })
     this.snapshots = SnapshotWriter.create(this.log, this.store, this.clock, random, retentionMs)
     this.reader = LogReader.create(this.log, this.clock,
-      [this.store.take, this.snapshots.take, record => claims.applyRecord(record), record => this.holder.read(record)],
+      [this.store.take, this.snapshots.take, record => claims.applyRecord(record), record => this.holder.applyRecord(record)],
       (first, page) => {
         this.store.noteFirstKept(first)
         claims.updateCoverage(page)
@@ -108,7 +108,7 @@
   private giveOrders (): void {
     this.holder.tick(this.clock.now())
     this.snapshots.tick()
-    this.holder.check().ifRight(fence => this.options.onOrder(fence))
+    this.holder.checkLease().ifRight(fence => this.options.onOrder(fence))
     this.clock.at(this.clock.now() + ORDER_MS, () => this.giveOrders())
   }
 
--- a/packages/foxtaillever-proof/src/world/orderWatch.ts
+++ b/packages/foxtaillever-proof/src/world/orderWatch.ts
@@ -27,7 +27,7 @@
     this.log.faults.outage = false
     this.log.read(this.offset + 1).ifRight(page => page.records.forEach(record => {
       this.offset = record.offset
-      this.leases.read(record)
+      this.leases.applyRecord(record)
     }))
     this.log.faults.outage = outage
   }
--- a/packages/foxtaillever-router/src/adapters/orderClient.ts
+++ b/packages/foxtaillever-router/src/adapters/orderClient.ts
@@ -19,13 +19,13 @@
     return new OrderClient(addressOf)
   }
 
-  async state (server: string): Promise<Either<Failure, EngineState>> {
+  async fetchState (server: string): Promise<Either<Failure, EngineState>> {
     const answer = await this.call(server, EnginePath.State, { method: 'GET' })
     return answer.map(body => body as EngineState)
   }
 
   /** Connects first, so that between the lease's check and the byte there is no wait for a connection. */
-  async give (server: string, order: EngineOrder, fence: () => Either<Failure, number>): Promise<Either<Failure, void>> {
+  async sendOrder (server: string, order: EngineOrder, fence: () => Either<Failure, number>): Promise<Either<Failure, void>> {
     const reachable = await this.call(server, EnginePath.State, { method: 'GET' })
     if (reachable.isLeft()) {
       return reachable.map(() => undefined)
--- a/packages/foxtaillever-router/src/orders/orderDesk.ts
+++ b/packages/foxtaillever-router/src/orders/orderDesk.ts
@@ -5,7 +5,7 @@
 import { randomUUID } from 'node:crypto'
 import { EngineRole, Failure, FailureCode, OrderKind as EngineOrderKind, RecordKind, waitUntil, type Clock, type EngineOrder, type Log } from 'foxtaillever-core'
 import { OrderKind, OrderState, type OrderProgress, type ServerOrder } from 'foxtaillever-control'
-import { isLoad, WantState, type OrderRecord, type OrderSystem, type Want, type WantFold } from 'foxtaillever-fleet'
+import { isLoad, FulfilmentState, type OrderRecord, type OrderSystem, type DesiredOrder, type DesiredOrders } from 'foxtaillever-fleet'
 import { Left, Right, type Either } from 'purify-ts'
 import type { OrderDesk } from '../control/instanceControl.js'
 
@@ -31,17 +31,17 @@
   [EngineOrderKind.ChangeRole]: OrderKind.SetRole
 }
 
-const states: Record<WantState, OrderState> = {
-  [WantState.Waiting]: OrderState.Waiting,
-  [WantState.Sent]: OrderState.Sent,
-  [WantState.Done]: OrderState.Done,
-  [WantState.Failed]: OrderState.Failed
+const states: Record<FulfilmentState, OrderState> = {
+  [FulfilmentState.Waiting]: OrderState.Waiting,
+  [FulfilmentState.Sent]: OrderState.Sent,
+  [FulfilmentState.Done]: OrderState.Done,
+  [FulfilmentState.Failed]: OrderState.Failed
 }
 
 export interface LogOrderDeskOptions {
   readonly log: Log
   readonly clock: Clock
-  readonly wants: WantFold
+  readonly wants: DesiredOrders
   readonly system: OrderSystem
 }
 
@@ -70,7 +70,7 @@
     return Left(appended.swap().orDefault(failure))
   }
 
-  private async readBack (id: string): Promise<Want | undefined> {
+  private async readBack (id: string): Promise<DesiredOrder | undefined> {
     const { clock, wants } = this.options
     const deadline = clock.now() + READ_BACK_MS
     while (clock.now() < deadline) {
@@ -88,7 +88,7 @@
     return this.options.wants.all().map(want => this.progressOf(want))
   }
 
-  private progressOf (want: Want): OrderProgress {
+  private progressOf (want: DesiredOrder): OrderProgress {
     const { system } = this.options
     const { order, server } = want
     return {
--- a/packages/foxtaillever-router/src/orders/orders.ts
+++ b/packages/foxtaillever-router/src/orders/orders.ts
@@ -4,7 +4,7 @@
  * the lease try for it, so that hundreds of instances do not append at once.
  */
 import type { Cancellation, Clock, Configuration, Log, LogRecord, Random } from 'foxtaillever-core'
-import { homesOf, LeaseFold, LeaseHolder, OrderSystem, WantFold } from 'foxtaillever-fleet'
+import { homesOf, LeaseFold, LeaseHolder, OrderSystem, DesiredOrders } from 'foxtaillever-fleet'
 import { OrderClient } from '../adapters/orderClient.js'
 import { LogOrderDesk } from './orderDesk.js'
 
@@ -30,7 +30,7 @@
 export class Orders {
   readonly desk: LogOrderDesk
   private readonly holder: LeaseHolder
-  private readonly wants = WantFold.create()
+  private readonly wants = DesiredOrders.create()
   private readonly system: OrderSystem
   private cancelTick: Cancellation = () => {}
 
@@ -42,7 +42,7 @@
     this.system = OrderSystem.create({
       clock,
       holder: this.holder,
-      wants: this.wants,
+      desiredOrders: this.wants,
       port: OrderClient.create(server => configuration().servers[server]?.address),
       servers: () => Object.values(configuration().servers).filter(({ models }) => models.length > 0).map(server => server.name)
     })
@@ -61,8 +61,8 @@
 
   /** Given to the log reader. */
   readonly read = (record: LogRecord): void => {
-    this.wants.read(record)
-    this.holder.read(record)
+    this.wants.applyRecord(record)
+    this.holder.applyRecord(record)
   }
 
   start (): void {
