--- a/packages/foxtaillever-fleet/src/__fixtures__/fakeFleet.ts
+++ b/packages/foxtaillever-fleet/src/__fixtures__/fakeFleet.ts
@@ -75,7 +75,7 @@
     const { address } = this.instances.get(name)!
     this.instances.delete(name)
     await this.network.datagrams(address).close()
-    this.network.cut((from, to) => from === address || to === address)
+    this.network.partition((from, to) => from === address || to === address)
   }
 
   private instanceList (): InstanceList {
--- a/packages/foxtaillever-fleet/src/__tests__/configuration.test.ts
+++ b/packages/foxtaillever-fleet/src/__tests__/configuration.test.ts
@@ -42,7 +42,7 @@
   it('names the instances that do not have it', async t => {
     const { clock, fake, instances } = await createFleet()
     const cutOff = instances[3]!
-    fake.network.cut((from, to) => from === cutOff.address || to === cutOff.address)
+    fake.network.partition((from, to) => from === cutOff.address || to === cutOff.address)
     const publication = await switchPreset(instances[0]!, clock, PresetName.Peaks)
     const wait = instances[0]!.fleet.waitInForce(publication.revision, clock.now() + 500)
     await clock.advanceBy(600)
@@ -97,7 +97,7 @@
     // When they meet, the old preset must not come back into force anywhere.
     const { clock, fake, instances } = await createFleet(6)
     const left = new Set(instances.slice(0, 3).map(({ address }) => address))
-    fake.network.cut((from, to) => left.has(from) !== left.has(to))
+    fake.network.partition((from, to) => left.has(from) !== left.has(to))
     await switchPreset(instances[0]!, clock, PresetName.Peaks)
     await clock.advanceBy(120_000)
     const seen: PresetName[] = []
--- a/packages/foxtaillever-fleet/src/__tests__/membership.test.ts
+++ b/packages/foxtaillever-fleet/src/__tests__/membership.test.ts
@@ -58,7 +58,7 @@
     // each would call the other dead and the whole fleet would hear it.
     const { clock, fake, instances } = await createFleet()
     const [one, other] = [instances[0]!.address, instances[1]!.address]
-    fake.network.cut((from, to) => (from === one && to === other) || (from === other && to === one))
+    fake.network.partition((from, to) => (from === one && to === other) || (from === other && to === one))
     await clock.advanceBy(20_000)
     instances.forEach(instance => t.is(namesOf(instance).length, COUNT))
   })
@@ -67,7 +67,7 @@
     const { clock, fake, instances } = await createFleet()
     const gone = instances.filter((_, index) => index % 3 === 0)
     const addresses = new Set(gone.map(({ address }) => address))
-    fake.network.cut((from, to) => addresses.has(from) || addresses.has(to))
+    fake.network.partition((from, to) => addresses.has(from) || addresses.has(to))
     await clock.advanceBy(DEATH_MS)
     const rest = instances.filter(instance => !gone.includes(instance))
     rest.forEach(instance => t.deepEqual(namesOf(instance), allNames(rest)))
@@ -78,7 +78,7 @@
     // tried the dead again, the halves would stay two fleets for good.
     const { clock, fake, instances } = await createFleet()
     const left = new Set(instances.slice(0, 4).map(({ address }) => address))
-    fake.network.cut((from, to) => left.has(from) !== left.has(to))
+    fake.network.partition((from, to) => left.has(from) !== left.has(to))
     await clock.advanceBy(180_000)
     instances.forEach((instance, index) => t.is(namesOf(instance).length, index < 4 ? 4 : 5))
     fake.network.heal()
@@ -115,7 +115,7 @@
       await paused.advanceTo(clock.now())
       t.is(sleeper.fleet.facts(FactKind.Suspect).length, 1)
       t.is(namesOf(sleeper).length, 6)
-      fake.network.cut((from, to) => from === sleeper.address || to === sleeper.address)
+      fake.network.partition((from, to) => from === sleeper.address || to === sleeper.address)
       await clock.advanceBy(30_000)
       await instances[1]!.fleet.stop()
       await clock.advanceBy(30_000)
@@ -135,7 +135,7 @@
       // old process wakes and still believes that it bears the name.
       const { clock, fake, instances } = await createFleet(4)
       const old = instances[3]!
-      fake.network.cut((from, to) => from === old.address || to === old.address)
+      fake.network.partition((from, to) => from === old.address || to === old.address)
       await clock.advanceBy(20_000)
       const successor = await fake.start(old.name)
       await clock.advanceBy(JOIN_MS)
--- a/packages/foxtaillever-fleet/src/__tests__/security.test.ts
+++ b/packages/foxtaillever-fleet/src/__tests__/security.test.ts
@@ -16,7 +16,7 @@
 
 function createMessage (now: number, name: string, changes: Partial<Message>): Message {
   return {
-    kind: MessageKind.News,
+    kind: MessageKind.MemberUpdates,
     sender: name,
     incarnation: now,
     sequence: 1,
--- a/packages/foxtaillever-fleet/src/configuration/inForceSystem.ts
+++ b/packages/foxtaillever-fleet/src/configuration/inForceSystem.ts
@@ -78,7 +78,7 @@
       this.finish(wait)
       return
     }
-    this.membership.pick(missing, PROBES_PER_TICK).forEach(member => this.probe(member))
+    this.membership.pickRandom(missing, PROBES_PER_TICK).forEach(member => this.probe(member))
   }
 
   private finish (wait: Wait): void {
--- a/packages/foxtaillever-fleet/src/fleet.ts
+++ b/packages/foxtaillever-fleet/src/fleet.ts
@@ -15,7 +15,7 @@
 import { Membership } from './membership/membership.js'
 import { Messenger } from './membership/messenger.js'
 import type { Peers, PeerSource } from './membership/peers.js'
-import type { ListedAddress } from './membership/seedSystem.js'
+import type { ListedAddressResolver } from './membership/discoverySystem.js'
 import { Self, type SelfDescription } from './membership/self.js'
 import { Systems } from './membership/systems.js'
 import type { KeyRing } from './security/keyRing.js'
@@ -43,7 +43,7 @@
   readonly logRetentionMs: number
   readonly instances: InstanceList
   /** The address for datagrams of a listed instance, where it is not the listed one. */
-  readonly gossipAddressOf?: ListedAddress
+  readonly gossipAddressOf?: ListedAddressResolver
   readonly datagrams: Datagrams
   readonly peers: Peers
   readonly keys: KeyRing
@@ -88,7 +88,7 @@
 
   /** Opens the socket, starts to read the log and to look for others; waits for none of them. */
   async start (): Promise<void> {
-    await this.membership.messenger.open(message => this.systems.receive(message), message => this.systems.answerSuperseded(message))
+    await this.membership.messenger.open(message => this.systems.receive(message), message => this.systems.notifySuperseded(message))
     this.running = true
     this.lastTickAt = this.options.clock.now()
     this.reader.start()
@@ -103,7 +103,7 @@
 
   /** Tells the others that this instance leaves; it still answers them. */
   leave (): void {
-    this.systems.news.sayGoodbye()
+    this.systems.updates.announceLeave()
   }
 
   /** Leaves and closes. */
@@ -138,7 +138,7 @@
 
   /** Whether another has been heard lately; an instance alone in its fleet never is. */
   isInTouch (): boolean {
-    return this.options.clock.now() - this.membership.contacts.lastHeardAt() < TOUCH_MS
+    return this.options.clock.now() - this.membership.contacts.lastReceivedAt() < TOUCH_MS
   }
 
   /** Whether a later process bears this instance's name; it should stop. */
@@ -201,7 +201,7 @@
     const { clock, random } = this.options
     const now = clock.now()
     if (now - this.lastTickAt > PAUSE_MS) {
-      this.systems.wake()
+      this.systems.resumeAfterPause()
     }
     this.lastTickAt = now
     this.systems.tick()
--- a/packages/foxtaillever-fleet/src/fleetDump.ts
+++ b/packages/foxtaillever-fleet/src/fleetDump.ts
@@ -46,7 +46,7 @@
 
 function dumpMember (member: Member, contact: Contact | undefined): DumpedMember {
   const { name, address, failureDomain, state, incarnation } = member
-  return { name, address, failureDomain, incarnation, state: MemberState[state], heardAt: contact?.heardAt ?? 0, revision: contact?.position.revision ?? 0 }
+  return { name, address, failureDomain, incarnation, state: MemberState[state], heardAt: contact?.receivedAt ?? 0, revision: contact?.position.revision ?? 0 }
 }
 
 export function createDump (membership: Membership, store: ConfigurationStore, reader: LogReader, systems: Systems, snapshots: SnapshotWriter): FleetDump {
@@ -70,7 +70,7 @@
     factsWaiting: systems.facts.waitingCount(),
     factsRefused: systems.facts.table.refusedCount(),
     factsUnreadable: systems.facts.unreadableCount(),
-    rumours: membership.rumours.size(),
+    rumours: membership.updates.size(),
     tablesFetched: systems.sync.fetchCount(),
     configurationsPulled: systems.pulls.pullCount(),
     traffic: { ...membership.messenger.traffic }
--- a/packages/foxtaillever-fleet/src/membership/__fixtures__/fakeNetwork.ts
+++ b/packages/foxtaillever-fleet/src/membership/__fixtures__/fakeNetwork.ts
@@ -1,11 +1,11 @@
 /**
- * Datagrams within one process: each takes a while, may be lost, and can be cut
- * off between members, or kept for sending again.
+ * Simulated datagrams within one process: each has a latency and may be lost;
+ * members can be partitioned, and sent datagrams are recorded for replay.
  */
 import type { Clock, Random } from 'foxtaillever-core'
 import type { DatagramListener, Datagrams } from '../datagrams.js'
 
-/** One way, milliseconds. */
+/** One-way latency, milliseconds. */
 const LATENCY_MS = 2
 
 export interface SentDatagram {
@@ -25,8 +25,8 @@
     return new FakeNetwork(clock, random, lossShare)
   }
 
-  /** Loses everything between the addresses that the rule names. */
-  cut (isCut: (from: string, to: string) => boolean): void {
+  /** Drops all datagrams between the addresses that the rule matches. */
+  partition (isCut: (from: string, to: string) => boolean): void {
     this.isCut = isCut
   }
 
@@ -38,7 +38,7 @@
     return this.listeners.has(to) && !this.isCut(from, to)
   }
 
-  /** Hands bytes to an address as if they came over the network. */
+  /** Delivers bytes to an address as if they came over the network. */
   inject (to: string, bytes: Uint8Array): void {
     this.listeners.get(to)?.(bytes)
   }
@@ -46,12 +46,12 @@
   datagrams (address: string): Datagrams {
     return {
       open: async listener => { this.listeners.set(address, listener) },
-      send: (to, bytes) => this.carry({ from: address, to, bytes }),
+      send: (to, bytes) => this.deliver({ from: address, to, bytes }),
       close: async () => { this.listeners.delete(address) }
     }
   }
 
-  private carry (datagram: SentDatagram): void {
+  private deliver (datagram: SentDatagram): void {
     this.sent.push(datagram)
     if (this.random.next() < this.lossShare) {
       return
--- a/packages/foxtaillever-fleet/src/membership/__tests__/trpcPeers.test.ts
+++ b/packages/foxtaillever-fleet/src/membership/__tests__/trpcPeers.test.ts
@@ -21,7 +21,7 @@
   return TrpcPeers.create('caller', keys, clock, SeededRandom.create(1))
 }
 
-async function ask (address: string, sealed: string): Promise<number> {
+async function sendCall (address: string, sealed: string): Promise<number> {
   const input = encodeURIComponent(JSON.stringify({ sealed }))
   const answer = await fetch(`http://${address}${PEER_PATH}/configuration?input=${input}`)
   await answer.text()
@@ -29,7 +29,7 @@
 }
 
 describe('calls between instances', () => {
-  it('bring the configuration and the members over HTTP', async t => {
+  it('fetch the configuration and the members over HTTP', async t => {
     const clock = VirtualClock.create()
     const server = await serve(KeyRing.create([key]), clock)
     const peers = createPeers(KeyRing.create([key]), clock)
@@ -38,8 +38,8 @@
     await server.close()
   })
 
-  it('are refused with a key that the other does not know', async t => {
-    // A stranger on the network asks for the configuration.
+  it('are refused with a key that the called instance does not know', async t => {
+    // A process without a valid key requests the configuration.
     const clock = VirtualClock.create()
     const server = await serve(KeyRing.create([key]), clock)
     const stranger = createPeers(KeyRing.create([{ ...key, secret: 'another secret of sixteen' }]), clock)
@@ -47,8 +47,8 @@
     await server.close()
   })
 
-  it('bring nothing from an answer that no member signed', async t => {
-    // Somebody answers in a member's place with a configuration of his own.
+  it('discard an answer that no member signed', async t => {
+    // An attacker answers in a member's place with a forged configuration.
     const clock = VirtualClock.create()
     const forged = createHTTPServer({
       router: createPeerRouter({ configuration: () => nothingFolded, memberEntries: () => [] }, KeyRing.create([{ ...key, id: 'k2' }, key]), clock),
@@ -62,15 +62,15 @@
   })
 
   it('answer a recorded call once', async t => {
-    // A call that was listened to is sent again, to learn what has changed since.
+    // An eavesdropper replays a recorded call to get newer data.
     const clock = VirtualClock.create()
     const keys = KeyRing.create([key])
     const server = await serve(keys, clock)
     const call = { sender: 'caller', incarnation: 1, sequence: 1, sentAt: clock.now(), procedure: PeerProcedure.Configuration, nonce: 'n', revision: 0 }
     const { sealed } = sealValue(keys, call)
-    t.is(await ask(server.address, sealed), 200)
-    t.is(await ask(server.address, sealed), 401)
-    t.is(await ask(server.address, sealValue(keys, { ...call, sequence: 2, procedure: PeerProcedure.Members }).sealed), 401)
+    t.is(await sendCall(server.address, sealed), 200)
+    t.is(await sendCall(server.address, sealed), 401)
+    t.is(await sendCall(server.address, sealValue(keys, { ...call, sequence: 2, procedure: PeerProcedure.Members }).sealed), 401)
     await server.close()
   })
 })
--- a/packages/foxtaillever-fleet/src/membership/contactTable.ts
+++ b/packages/foxtaillever-fleet/src/membership/contactTable.ts
@@ -1,13 +1,13 @@
 /**
- * When each member was last heard and how far it then was with the
- * configuration. Kept apart from the members, because it changes with every
- * message while they seldom do.
+ * When the last message of each member was received, and which configuration
+ * the member had then. Kept apart from the member table, because it changes with
+ * every message while members seldom change.
  */
 import type { ConfigurationPosition, Contact } from './member.js'
 
 export class ContactTable {
   private readonly contacts = new Map<string, Contact>()
-  private last = 0
+  private lastReceived = 0
 
   private constructor () {}
 
@@ -15,21 +15,21 @@
     return new ContactTable()
   }
 
-  hear (name: string, incarnation: number, position: ConfigurationPosition, now: number): void {
-    this.contacts.set(name, { heardAt: now, incarnation, position })
-    this.last = now
+  recordContact (name: string, incarnation: number, position: ConfigurationPosition, now: number): void {
+    this.contacts.set(name, { receivedAt: now, incarnation, position })
+    this.lastReceived = now
   }
 
   get (name: string): Contact | undefined {
     return this.contacts.get(name)
   }
 
-  /** When anyone was last heard, milliseconds of Unix time; 0 for never. */
-  lastHeardAt (): number {
-    return this.last
+  /** When the last message of any member was received, milliseconds of Unix time; 0 for never. */
+  lastReceivedAt (): number {
+    return this.lastReceived
   }
 
-  /** Drops contacts of names that are no longer known. */
+  /** Removes contacts of members that are no longer known. */
   retain (isKnown: (name: string) => boolean): void {
     for (const name of this.contacts.keys()) {
       if (!isKnown(name)) {
--- a/packages/foxtaillever-fleet/src/membership/datagrams.ts
+++ b/packages/foxtaillever-fleet/src/membership/datagrams.ts
@@ -1,5 +1,5 @@
 /**
- * The narrow interface to datagrams between instances, and its UDP side.
+ * The interface for datagrams between instances, and its UDP implementation.
  */
 import { createSocket, type Socket, type SocketOptions } from 'node:dgram'
 
@@ -7,14 +7,14 @@
 
 /** Sends and receives whole datagrams; any of them may be lost. */
 export interface Datagrams {
-  /** Starts to receive. */
+  /** Starts receiving. */
   open: (listener: DatagramListener) => Promise<void>
-  /** @param address IP number and port. */
+  /** @param address IP address and port. */
   send: (address: string, bytes: Uint8Array) => void
   close: () => Promise<void>
 }
 
-/** An address as the socket wants it. */
+/** Splits an address into the host and port that a socket takes. */
 export function parseAddress (address: string): { readonly host: string, readonly port: number } {
   const colon = address.lastIndexOf(':')
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) }
@@ -23,25 +23,25 @@
 const IP_VERSION = 4
 
 export class UdpDatagrams implements Datagrams {
-  private bound = false
-  private closed = false
-  private sending = 0
-  private sent: () => void = () => {}
+  private isBound = false
+  private isClosed = false
+  private sendsInFlight = 0
+  private onAllSent: () => void = () => {}
 
   private constructor (private readonly socket: Socket, private readonly host: string, private readonly port: number) {}
 
-  /** @param address IP number and port; port 0 lets the system choose. */
+  /** @param address IP address and port; with port 0 the operating system chooses one. */
   static create (address: string): UdpDatagrams {
     const { host, port } = parseAddress(address)
-    // Addresses are IP numbers, so nothing is ever looked up.
-    const lookup: SocketOptions['lookup'] = (number, _, found) => found(null, number, IP_VERSION)
+    // Addresses are IP addresses, so no name is ever resolved.
+    const lookup: SocketOptions['lookup'] = (address, _, found) => found(null, address, IP_VERSION)
     return new UdpDatagrams(createSocket({ type: 'udp4', lookup }), host, port)
   }
 
-  /** Takes the port before anyone listens, so that its number can be told. */
+  /** Binds the socket before messages are handled, so that the chosen port can be announced. */
   async bind (): Promise<string> {
-    if (!this.bound) {
-      this.bound = true
+    if (!this.isBound) {
+      this.isBound = true
       await this.bindSocket()
     }
     const { address, port } = this.socket.address()
@@ -54,28 +54,28 @@
   }
 
   send (address: string, bytes: Uint8Array): void {
-    if (this.closed) {
+    if (this.isClosed) {
       return
     }
     const { host, port } = parseAddress(address)
-    this.sending += 1
-    // A datagram that cannot be sent is as good as lost; the next tick sends again.
-    this.socket.send(bytes, port, host, () => this.noteSent())
+    this.sendsInFlight += 1
+    // A datagram that cannot be sent counts as lost; the next tick sends again.
+    this.socket.send(bytes, port, host, () => this.recordSent())
   }
 
-  /** Waits for what is being sent: the last of it says that this instance leaves. */
+  /** Waits for datagrams in flight: the last ones announce that this instance leaves. */
   async close (): Promise<void> {
-    this.closed = true
-    if (this.sending > 0) {
-      await new Promise<void>(resolve => { this.sent = resolve })
+    this.isClosed = true
+    if (this.sendsInFlight > 0) {
+      await new Promise<void>(resolve => { this.onAllSent = resolve })
     }
     await new Promise<void>(resolve => this.socket.close(() => resolve()))
   }
 
-  private noteSent (): void {
-    this.sending -= 1
-    if (this.sending === 0) {
-      this.sent()
+  private recordSent (): void {
+    this.sendsInFlight -= 1
+    if (this.sendsInFlight === 0) {
+      this.onAllSent()
     }
   }
 
@@ -84,7 +84,7 @@
       this.socket.once('error', reject)
       this.socket.bind(this.port, this.host, () => {
         this.socket.off('error', reject)
-        // A later error concerns one datagram, which then is as good as lost.
+        // A later error concerns one datagram, which then counts as lost.
         this.socket.on('error', () => {})
         resolve()
       })
--- a/packages/foxtaillever-fleet/src/membership/home.ts
+++ b/packages/foxtaillever-fleet/src/membership/home.ts
@@ -1,7 +1,7 @@
 /**
- * Computed homes. The home of a key is the member with the highest rendezvous
- * score, so every instance with the same members names the same home, nothing
- * is stored, and a member that leaves moves only the keys that it was home of.
+ * Rendezvous hashing. The home of a key is the member with the highest score, so
+ * every instance with the same members computes the same home, nothing is
+ * stored, and a member that leaves moves only the keys that it was home of.
  */
 import { none, some, type Option } from 'fp-ts/lib/Option.js'
 import { hashNumber } from 'foxtaillever-core'
@@ -11,13 +11,13 @@
 }
 
 /** Multiplier of Knuth's multiplicative hash; keeps the two hashes independent. */
-const MIX = 2_654_435_761
+const KNUTH_MULTIPLIER = 2_654_435_761
 
 function scoreOf (keyHash: number, name: string): number {
-  return hashNumber(name, Math.imul(keyHash, MIX) >>> 0)
+  return hashNumber(name, Math.imul(keyHash, KNUTH_MULTIPLIER) >>> 0)
 }
 
-/** The member that is home of the key; none only without members. */
+/** The home of the key; none only without members. */
 export function homeOf<Member extends Named> (key: string, members: readonly Member[]): Option<Member> {
   const keyHash = hashNumber(key)
   let best: Member | undefined
@@ -32,7 +32,7 @@
   return best === undefined ? none : some(best)
 }
 
-/** The first members by rendezvous score, the home first. */
+/** The members with the highest rendezvous scores, the home first. */
 export function homesOf<Member extends Named> (key: string, members: readonly Member[], count: number): readonly Member[] {
   const keyHash = hashNumber(key)
   return members
--- a/packages/foxtaillever-fleet/src/membership/member.ts
+++ b/packages/foxtaillever-fleet/src/membership/member.ts
@@ -1,46 +1,46 @@
 /**
- * Members as instances describe them to each other.
+ * Members, and the entries by which instances describe them to each other.
  */
 export enum MemberState {
   Alive = 0,
-  /** Did not answer; dead at its deadline unless it answers. */
+  /** Did not answer a probe; becomes dead at its deadline unless it answers. */
   Suspect = 1,
   Dead = 2,
-  /** Said itself that it leaves. */
+  /** Announced that it leaves. */
   Left = 3
 }
 
-/** What instances tell each other of a member. */
+/** What instances send each other about a member. */
 export interface MemberEntry {
   readonly name: string
-  /** IP number and port for datagrams. */
+  /** IP address and port for datagrams. */
   readonly address: string
-  /** IP number and port for procedure calls between instances. */
+  /** IP address and port for procedure calls between instances. */
   readonly controlAddress: string
   readonly failureDomain: string
-  /** Start of the process, milliseconds of Unix time, raised by one to refute a false death. */
+  /** Start of the process, milliseconds of Unix time; raised by one to refute a false report of death. */
   readonly incarnation: number
   readonly state: MemberState
 }
 
 export interface Member extends MemberEntry {
-  /** When a suspect is dead, or one that is gone is forgotten; milliseconds of Unix time. */
+  /** When a suspect becomes dead, or a gone member is removed; milliseconds of Unix time. */
   readonly deadline: number
 }
 
-/** How far a member is with the configuration, as it says in each message. */
+/** The configuration that a member has, as stated in each of its messages. */
 export interface ConfigurationPosition {
   readonly revision: number
   readonly offset: number
-  /** First digits of the configuration's digest. */
+  /** First digits of the digest of the configuration. */
   readonly digest: string
 }
 
-/** A member's own word, as it last arrived here. */
+/** The last message of a member about itself. */
 export interface Contact {
   /** Milliseconds of Unix time. */
-  readonly heardAt: number
-  /** A restart voids what was known. */
+  readonly receivedAt: number
+  /** A new incarnation replaces the position of the old one. */
   readonly incarnation: number
   readonly position: ConfigurationPosition
 }
@@ -53,12 +53,12 @@
   return member.state === MemberState.Dead || member.state === MemberState.Left
 }
 
-/** Whether the news overrides what is known: newer incarnation first, then the graver state. */
-export function overrides (news: MemberEntry, known: MemberEntry): boolean {
-  if (news.incarnation !== known.incarnation) {
-    return news.incarnation > known.incarnation
+/** Whether the update replaces the known entry: the higher incarnation wins, then the higher state. */
+export function overrides (update: MemberEntry, known: MemberEntry): boolean {
+  if (update.incarnation !== known.incarnation) {
+    return update.incarnation > known.incarnation
   }
-  return news.state > known.state
+  return update.state > known.state
 }
 
 export function toEntry ({ name, address, controlAddress, failureDomain, incarnation, state }: MemberEntry): MemberEntry {
--- a/packages/foxtaillever-fleet/src/membership/membership.ts
+++ b/packages/foxtaillever-fleet/src/membership/membership.ts
@@ -1,28 +1,28 @@
 /**
- * What one instance knows of the members, and how it takes in what others say.
+ * What one instance knows of the members, and how it applies updates from others.
  */
 import type { Clock, Random } from 'foxtaillever-core'
 import { ContactTable } from './contactTable.js'
 import { isLive, MemberState, type Member, type MemberEntry } from './member.js'
 import { MemberTable } from './memberTable.js'
-import { entryBytes, LARGEST_PAYLOAD_BYTES, type Message } from './message.js'
+import { entryBytes, MAX_PAYLOAD_BYTES, type Message } from './message.js'
 import type { Messenger } from './messenger.js'
-import { Rumours } from './rumours.js'
+import { UpdateQueue } from './updateQueue.js'
 import type { Self } from './self.js'
 
-/** Room for the fixed part of a message, bytes. */
+/** Space reserved for the fixed part of a message, bytes. */
 const FIXED_PART_BYTES = 250
 
-/** Bytes of news that one message may carry. */
-const MESSAGE_NEWS_BYTES = LARGEST_PAYLOAD_BYTES - FIXED_PART_BYTES
+/** Bytes of member updates that one message may carry. */
+const MAX_MESSAGE_UPDATE_BYTES = MAX_PAYLOAD_BYTES - FIXED_PART_BYTES
 
-/** Bytes of news that all messages of one tick may carry: 3 KB/s of the 14, as much again received. */
-const TICK_NEWS_BYTES = 1500
+/** Bytes of member updates that all messages of one tick may carry: 3 KB/s of the budget of 14 KB/s, and as much again received. */
+const MAX_TICK_UPDATE_BYTES = 1500
 
 export class Membership {
   readonly contacts = ContactTable.create()
-  readonly rumours = Rumours.create()
-  private newsBytesLeft = TICK_NEWS_BYTES
+  readonly updates = UpdateQueue.create()
+  private updateBytesLeft = MAX_TICK_UPDATE_BYTES
 
   private constructor (
     readonly self: Self,
@@ -42,73 +42,73 @@
     return this.self.entry().name
   }
 
-  /** Members that are alive without this instance. */
+  /** Members that are alive, without this instance. */
   others (): readonly Member[] {
     return this.table.alive().filter(member => member.name !== this.name())
   }
 
-  /** Takes in what a message says of its sender and of others. */
+  /** Applies what a message states about its sender and other members. */
   receive (message: Message): void {
-    message.entries.forEach(entry => this.learn(entry, true))
-    this.contacts.hear(message.sender, message.incarnation, message.position, this.clock.now())
+    message.entries.forEach(entry => this.applyEntry(entry, true))
+    this.contacts.recordContact(message.sender, message.incarnation, message.position, this.clock.now())
   }
 
   /**
-   * Takes in one entry.
-   * @param tell whether news is passed on; not for whole tables, which everyone compares anyway.
+   * Applies one entry.
+   * @param isForwarded whether a change is sent on to others; false for whole tables, which all instances compare anyway.
    */
-  learn (entry: MemberEntry, tell: boolean): void {
+  applyEntry (entry: MemberEntry, isForwarded: boolean): void {
     if (entry.name === this.name()) {
-      if (this.self.answer(entry)) {
+      if (this.self.refute(entry)) {
         this.announce()
       }
       return
     }
-    if (this.table.merge(entry, this.clock.now()) && tell) {
-      this.rumours.add(entry, this.table.alive().length)
+    if (this.table.merge(entry, this.clock.now()) && isForwarded) {
+      this.updates.add(entry, this.table.alive().length)
     }
   }
 
-  /** Tells the others of this instance's own entry. */
+  /** Queues this instance's own entry for sending to the others. */
   announce (): void {
-    this.table.replace(this.self.entry(), this.clock.now())
-    this.rumours.add(this.self.entry(), this.table.alive().length)
+    this.table.replaceOwnEntry(this.self.entry(), this.clock.now())
+    this.updates.add(this.self.entry(), this.table.alive().length)
   }
 
-  suspect (name: string): void {
+  markSuspect (name: string): void {
     const member = this.table.get(name)
     if (member !== undefined && isLive(member)) {
-      this.learn({ ...member, state: MemberState.Suspect }, true)
+      this.applyEntry({ ...member, state: MemberState.Suspect }, true)
     }
   }
 
   /**
-   * Entries to put into any message: this instance itself, and what the receiver
-   * is called here, wrongly or rightly, so that it can answer.
+   * Entries for any message: this instance itself and, if the receiver is not
+   * alive in this table, the receiver's entry, so that it can refute it.
    */
-  greetingFor (receiver: string | undefined): readonly MemberEntry[] {
+  baseEntriesFor (receiver: string | undefined): readonly MemberEntry[] {
     const known = receiver === undefined ? undefined : this.table.get(receiver)
-    const called = known === undefined || isLive(known) ? [] : [known]
-    return [this.self.entry(), ...called]
+    const refutable = known === undefined || isLive(known) ? [] : [known]
+    return [this.self.entry(), ...refutable]
   }
 
-  /** The greeting and news, as much as the tick has left. */
-  newsFor (receiver: string): readonly MemberEntry[] {
-    const news = this.rumours.take(Math.min(MESSAGE_NEWS_BYTES, this.newsBytesLeft))
-    this.newsBytesLeft -= news.reduce((sum, entry) => sum + entryBytes(entry), 0)
-    return [...this.greetingFor(receiver), ...news]
+  /** The base entries and as many member updates as this tick has bytes left for. */
+  entriesFor (receiver: string): readonly MemberEntry[] {
+    const updates = this.updates.takeEntries(Math.min(MAX_MESSAGE_UPDATE_BYTES, this.updateBytesLeft))
+    this.updateBytesLeft -= updates.reduce((sum, entry) => sum + entryBytes(entry), 0)
+    return [...this.baseEntriesFor(receiver), ...updates]
   }
 
   /** Run each tick. */
   tick (): void {
-    this.newsBytesLeft = TICK_NEWS_BYTES
+    this.updateBytesLeft = MAX_TICK_UPDATE_BYTES
     const now = this.clock.now()
-    this.table.expire(now).forEach(entry => this.rumours.add(entry, this.table.alive().length))
+    this.table.expire(now).forEach(entry => this.updates.add(entry, this.table.alive().length))
     this.contacts.retain(name => this.table.get(name) !== undefined)
   }
 
-  /** Some members at random, each at most once. */
-  pick<Entry> (entries: readonly Entry[], count: number): readonly Entry[] {
+  /** Picks some entries at random, each at most once. */
+  pickRandom<Entry> (entries: readonly Entry[], count: number): readonly Entry[] {
     const left = [...entries]
     const picked: Entry[] = []
     while (picked.length < count && left.length > 0) {
--- a/packages/foxtaillever-fleet/src/membership/message.ts
+++ b/packages/foxtaillever-fleet/src/membership/message.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between instances, and how they are put into bytes: positional
- * arrays by msgpackr, because field names would double the size.
+ * Messages between instances and their encoding: positional arrays encoded by
+ * msgpackr, because field names would double the size.
  */
 import { Packr } from 'msgpackr'
 import { Just, Maybe, Nothing } from 'purify-ts'
@@ -8,13 +8,13 @@
 import type { ConfigurationPosition, MemberEntry, MemberState } from './member.js'
 
 export enum MessageKind {
-  /** Asks the receiver whether it lives. */
+  /** Checks whether the receiver is alive. */
   Probe = 1,
   Ack = 2,
-  /** Asks the receiver to probe another, whose answers do not reach the sender. */
-  ProbeFor = 3,
-  /** Carries news of members only. */
-  News = 4,
+  /** Asks the receiver to probe another member that does not answer the sender. */
+  IndirectProbe = 3,
+  /** Carries only member updates. */
+  MemberUpdates = 4,
   /** Carries soft state. */
   Facts = 5
 }
@@ -26,31 +26,31 @@
   readonly sequence: number
   /** Sender's clock, milliseconds of Unix time. */
   readonly sentAt: number
-  /** Number of the probe that is sent or answered; 0 for none. */
+  /** Number of the probe that is sent or acknowledged; 0 for none. */
   readonly probe: number
-  /** The member that an indirect probe is about; empty for none. */
+  /** Target of an indirect probe; empty for none. */
   readonly about: string
   readonly position: ConfigurationPosition
-  /** Hash of who lives in the sender's eyes. */
+  /** Hash of the members that are alive in the sender's table. */
   readonly tableDigest: number
   readonly entries: readonly MemberEntry[]
   readonly facts: readonly Fact[]
 }
 
-/** What every message says of its sender. */
+/** What every message states about its sender. */
 export type MessageHead = Pick<Message, 'sender' | 'incarnation' | 'sequence' | 'sentAt' | 'position' | 'tableDigest'>
 
-/** A message with nothing in it but what is given. */
+/** A message with the given parts and empty defaults. */
 export function createMessage (parts: MessageHead & Partial<Message>): Message {
-  return { kind: MessageKind.News, probe: 0, about: '', entries: [], facts: [], ...parts }
+  return { kind: MessageKind.MemberUpdates, probe: 0, about: '', entries: [], facts: [], ...parts }
 }
 
 export type WireEntry = readonly [string, string, string, string, number, MemberState]
 type WireFact = readonly [string, FactKind, string, number, number, unknown]
 type WireMessage = readonly [MessageKind, string, number, number, number, number, string, number, number, string, number, readonly WireEntry[], readonly WireFact[]]
 
-/** Leaves room for headers within the smallest usual MTU of 1,280 bytes. */
-export const LARGEST_PAYLOAD_BYTES = 1150
+/** Leaves space for headers within the smallest usual MTU, 1,280 bytes. */
+export const MAX_PAYLOAD_BYTES = 1150
 
 const packr = new Packr({ useRecords: false })
 
@@ -85,28 +85,28 @@
 }
 
 function hasTypes (values: unknown, types: readonly string[]): boolean {
-  return Array.isArray(values) && types.every((expected, index) => expected === ANY || nameOfType(values[index]) === expected)
+  return Array.isArray(values) && types.every((expected, index) => expected === ANY_TYPE || nameOfType(values[index]) === expected)
 }
 
-/** Any type; what a fact's value means is its reader's to check. */
-const ANY = 'any'
-const HEAD = ['number', 'string', 'number', 'number', 'number', 'number', 'string', 'number', 'number', 'string', 'number']
-const ENTRY = ['string', 'string', 'string', 'string', 'number', 'number']
-const FACT = ['string', 'number', 'string', 'number', 'number', ANY]
+/** Matches any type; the reader of a fact checks its value. */
+const ANY_TYPE = 'any'
+const HEAD_TYPES = ['number', 'string', 'number', 'number', 'number', 'number', 'string', 'number', 'number', 'string', 'number']
+const ENTRY_TYPES = ['string', 'string', 'string', 'string', 'number', 'number']
+const FACT_TYPES = ['string', 'number', 'string', 'number', 'number', ANY_TYPE]
 
 export function isEntry (entry: unknown): entry is WireEntry {
-  return hasTypes(entry, ENTRY)
+  return hasTypes(entry, ENTRY_TYPES)
 }
 
 function isFact (fact: unknown): boolean {
-  return hasTypes(fact, FACT)
+  return hasTypes(fact, FACT_TYPES)
 }
 
-/** Reads a message whose signature has been verified; nothing when its form is another. */
+/** Decodes a message whose signature has been verified; Nothing if its format is not valid. */
 export function decodeMessage (bytes: Uint8Array): Maybe<Message> {
   return Maybe.encase(() => packr.unpack(bytes) as WireMessage).chain(wire => {
-    // A member with another release may send another form; taken in, it would end this process.
-    if (!hasTypes(wire, HEAD) || !Array.isArray(wire[11]) || !Array.isArray(wire[12])) {
+    // A member with another release may use another format; applied unchecked, it would crash this process.
+    if (!hasTypes(wire, HEAD_TYPES) || !Array.isArray(wire[11]) || !Array.isArray(wire[12])) {
       return Nothing
     }
     if (!wire[11].every(isEntry) || !wire[12].every(isFact)) {
@@ -118,12 +118,12 @@
   })
 }
 
-/** Bytes an entry takes up in a message, within a few. */
+/** Approximate size of an entry in a message, bytes. */
 export function entryBytes ({ name, address, controlAddress, failureDomain }: MemberEntry): number {
   return name.length + address.length + controlAddress.length + failureDomain.length + 16
 }
 
-/** Bytes a fact takes up in a message. */
+/** Size of a fact in a message, bytes. */
 export function factBytes (fact: Fact): number {
   return packr.pack(packFact(fact)).length
 }
--- a/packages/foxtaillever-fleet/src/membership/messenger.ts
+++ b/packages/foxtaillever-fleet/src/membership/messenger.ts
@@ -1,6 +1,6 @@
 /**
  * Sends and receives messages between instances: encodes, signs, numbers,
- * verifies and counts them. What is forged, repeated or malformed ends here.
+ * verifies and counts them. Drops forged, repeated and malformed messages.
  */
 import type { Clock } from 'foxtaillever-core'
 import type { ConfigurationStore } from '../configuration/configurationStore.js'
@@ -13,14 +13,14 @@
 import type { MemberTable } from './memberTable.js'
 import type { Self } from './self.js'
 
-/** Bytes of IPv4 and UDP headers, counted with each datagram. */
+/** Size of the IPv4 and UDP headers, counted with each datagram, bytes. */
 export const HEADER_BYTES = 28
 
-/** Digits of the configuration's digest that each message carries; enough to show a fault. */
-const POSITION_DIGITS = 8
+/** Digits of the configuration's digest that each message carries; enough to detect a divergence. */
+const DIGEST_DIGITS = 8
 
-/** What differs from message to message. */
-export type Content = Pick<Message, 'kind'> & Partial<Pick<Message, 'probe' | 'about' | 'entries' | 'facts'>>
+/** The part of a message that the sender chooses. */
+export type MessageContent = Pick<Message, 'kind'> & Partial<Pick<Message, 'probe' | 'about' | 'entries' | 'facts'>>
 
 export type MessageListener = (message: Message) => void
 
@@ -31,9 +31,9 @@
   sentBytes: number
   receivedMessages: number
   receivedBytes: number
-  /** Messages with a wrong signature, an unknown key or a broken form. */
+  /** Messages with a wrong signature, an unknown key or an invalid format. */
   forged: number
-  /** Messages seen before or too old. */
+  /** Messages that were seen before, are too old or come from a superseded process. */
   replayed: number
 }
 
@@ -48,7 +48,7 @@
 
 export class Messenger {
   readonly traffic: Traffic = { sentMessages: 0, sentBytes: 0, receivedMessages: 0, receivedBytes: 0, forged: 0, replayed: 0 }
-  private readonly guard = ReplayGuard.create()
+  private readonly replayGuard = ReplayGuard.create()
 
   private constructor (private readonly parts: MessengerParts) {}
 
@@ -56,11 +56,11 @@
     return new Messenger(parts)
   }
 
-  /** @param superseded gets messages of processes whose name a later one bears. */
-  async open (listener: MessageListener, superseded: MessageListener): Promise<void> {
+  /** @param onSuperseded receives messages of processes that a later one with the same name has replaced. */
+  async open (listener: MessageListener, onSuperseded: MessageListener): Promise<void> {
     const listeners: Partial<Record<Admission, MessageListener>> = {
       [Admission.New]: listener,
-      [Admission.Superseded]: superseded
+      [Admission.Superseded]: onSuperseded
     }
     await this.parts.datagrams.open(bytes => this.receive(bytes, listeners))
   }
@@ -69,7 +69,7 @@
     await this.parts.datagrams.close()
   }
 
-  send (address: string, content: Content): void {
+  send (address: string, content: MessageContent): void {
     const { self, table, clock, keys, datagrams } = this.parts
     const { name, incarnation } = self.entry()
     const message = createMessage({
@@ -89,12 +89,12 @@
 
   /** Run each tick. */
   tick (): void {
-    this.guard.expire(this.parts.clock.now())
+    this.replayGuard.expire(this.parts.clock.now())
   }
 
   private position (): ConfigurationPosition {
     const { configuration, offset, digest } = this.parts.store.current()
-    return { revision: configuration.revision, offset, digest: digest.slice(0, POSITION_DIGITS) }
+    return { revision: configuration.revision, offset, digest: digest.slice(0, DIGEST_DIGITS) }
   }
 
   private receive (bytes: Uint8Array, listeners: AdmissionListeners): void {
@@ -102,12 +102,12 @@
     this.traffic.receivedBytes += bytes.length + HEADER_BYTES
     open(this.parts.keys, Permission.Join, bytes).chain(decodeMessage).caseOf({
       Nothing: () => { this.traffic.forged += 1 },
-      Just: message => this.admit(message, listeners)
+      Just: message => this.dispatch(message, listeners)
     })
   }
 
-  private admit (message: Message, listeners: AdmissionListeners): void {
-    const admission = this.guard.admit(message, this.parts.clock.now())
+  private dispatch (message: Message, listeners: AdmissionListeners): void {
+    const admission = this.replayGuard.admit(message, this.parts.clock.now())
     if (admission !== Admission.New) {
       this.traffic.replayed += 1
     }
--- a/packages/foxtaillever-fleet/src/membership/peerRouter.ts
+++ b/packages/foxtaillever-fleet/src/membership/peerRouter.ts
@@ -1,8 +1,8 @@
 /**
- * The procedures that instances call on each other over tRPC, for what does
- * not fit a datagram: the folded configuration and the table of members. Calls
- * and answers are sealed, so it needs no protected connection: a forged call
- * learns nothing and a forged answer changes nothing.
+ * The procedures that instances call on each other over tRPC, for data that does
+ * not fit into a datagram: the folded configuration and the table of members.
+ * Calls and answers are signed, so no protected connection is needed: a forged
+ * call gets no data and a forged answer is discarded.
  */
 import { initTRPC, TRPCError } from '@trpc/server'
 import { Packr } from 'msgpackr'
@@ -15,11 +15,11 @@
 import { packEntry } from './message.js'
 import type { PeerSource } from './peers.js'
 
-/** What a caller seals: who calls, and a number that the answer repeats. */
+/** A signed call: identifies the caller, and has a nonce that the answer repeats. */
 export interface PeerCall extends MessageOrigin {
   readonly procedure: PeerProcedure
   readonly nonce: string
-  /** For changes: the revision that the caller has. */
+  /** For `changes`: the revision that the caller has. */
   readonly revision: number
 }
 
@@ -29,7 +29,7 @@
   Members = 'members'
 }
 
-/** What is sealed as answer. */
+/** A signed answer. */
 export interface PeerAnswer {
   readonly nonce: string
   readonly value: unknown
@@ -48,7 +48,7 @@
     .chain(bytes => Maybe.encase(() => packr.unpack(bytes) as Value))
 }
 
-/** The router for tRPC; mounted by the process that has the HTTP server. */
+/** The tRPC router; mounted by the process that has the HTTP server. */
 export function createPeerRouter (source: PeerSource, keys: KeyRing, clock: Clock) {
   const trpc = initTRPC.create()
   const guard = ReplayGuard.create()
--- a/packages/foxtaillever-fleet/src/membership/probeSystem.ts
+++ b/packages/foxtaillever-fleet/src/membership/probeSystem.ts
@@ -1,28 +1,28 @@
 /**
- * Finds members that no longer answer. Each tick one member is probed, in an
- * order drawn anew for each round, so that every member is probed by someone
- * about once a tick whatever the size of the fleet. One that does not answer is
- * probed through others, since a single broken path is no death; only then is
- * it suspect.
+ * Detects members that no longer answer. Each tick this instance probes one
+ * member, in a new random order for each round, so that every member is probed
+ * by some instance about once a tick at any size of the fleet. A member that
+ * does not answer is probed through others, since a single broken network path
+ * does not mean that it is dead; only then does it become suspect.
  */
 import type { Membership } from './membership.js'
 import { MessageKind, type Message } from './message.js'
 import type { Member } from './member.js'
 
-/** How long an answer may take before others are asked, milliseconds; far above a round trip between regions. */
-const ANSWER_MS = 450
+/** How long an acknowledgement may take before indirect probes are sent, milliseconds; far above a round trip between regions. */
+const ACK_TIMEOUT_MS = 450
 
-/** How long the answers of others may take, milliseconds. */
-const INDIRECT_ANSWER_MS = 900
+/** How long an acknowledgement of an indirect probe may take, milliseconds. */
+const INDIRECT_ACK_TIMEOUT_MS = 900
 
-/** Members asked to probe in this one's place. */
-const HELPERS = 3
+/** Number of members that are asked to probe on behalf of this instance. */
+const INDIRECT_PROBE_COUNT = 3
 
 enum Stage {
   Direct,
   Indirect,
-  /** Probed for another, which does its own waiting. */
-  ForAnother
+  /** Probed on behalf of another instance, which has its own timeout. */
+  OnBehalf
 }
 
 interface Probe {
@@ -30,19 +30,19 @@
   readonly stage: Stage
   /** Milliseconds of Unix time. */
   readonly deadline: number
-  /** For another: where the answer goes, and that one's own number. */
-  readonly asker?: { readonly address: string, readonly probe: number }
+  /** For a probe on behalf of another instance: its address and its number of the probe. */
+  readonly requester?: { readonly address: string, readonly probe: number }
 }
 
 export class ProbeSystem {
   private readonly probes = new Map<number, Probe>()
-  private round: string[] = []
-  private number = 0
+  private remainingTargets: string[] = []
+  private lastNumber = 0
 
-  private readonly expired: Record<Stage, (number: number, probe: Probe) => void> = {
-    [Stage.Direct]: (number, probe) => this.askHelpers(number, probe),
-    [Stage.Indirect]: (_, probe) => this.membership.suspect(probe.target),
-    [Stage.ForAnother]: () => {}
+  private readonly onExpired: Record<Stage, (number: number, probe: Probe) => void> = {
+    [Stage.Direct]: (number, probe) => this.probeIndirectly(number, probe),
+    [Stage.Indirect]: (_, probe) => this.membership.markSuspect(probe.target),
+    [Stage.OnBehalf]: () => {}
   }
 
   private constructor (private readonly membership: Membership) {}
@@ -60,20 +60,20 @@
     }
   }
 
-  /** Probes a member now; used where there is a reason to doubt it. */
+  /** Probes a member now; used when there is a reason to suspect it. */
   probe (target: Member): void {
-    const number = this.track({ target: target.name, stage: Stage.Direct, deadline: this.now() + ANSWER_MS })
+    const number = this.track({ target: target.name, stage: Stage.Direct, deadline: this.now() + ACK_TIMEOUT_MS })
     this.send(target, number)
   }
 
-  /** Forgets probes under way, since this instance itself was paused and missed the answers. */
-  clear (): void {
+  /** Drops probes in flight, since this instance was paused and missed their acknowledgements. */
+  clearProbes (): void {
     this.probes.clear()
   }
 
   receiveProbe (message: Message, address: string): void {
     const { membership } = this
-    membership.messenger.send(address, { kind: MessageKind.Ack, probe: message.probe, entries: membership.newsFor(message.sender) })
+    membership.messenger.send(address, { kind: MessageKind.Ack, probe: message.probe, entries: membership.entriesFor(message.sender) })
   }
 
   receiveAck (message: Message): void {
@@ -82,29 +82,29 @@
       return
     }
     this.probes.delete(message.probe)
-    if (probe.asker) {
-      this.membership.messenger.send(probe.asker.address, { kind: MessageKind.Ack, probe: probe.asker.probe, about: probe.target })
+    if (probe.requester) {
+      this.membership.messenger.send(probe.requester.address, { kind: MessageKind.Ack, probe: probe.requester.probe, about: probe.target })
     }
   }
 
-  receiveProbeFor (message: Message, address: string): void {
+  receiveIndirectProbe (message: Message, address: string): void {
     const target = this.membership.table.get(message.about)
     if (target === undefined) {
       return
     }
-    const asker = { address, probe: message.probe }
-    const number = this.track({ target: target.name, stage: Stage.ForAnother, deadline: this.now() + INDIRECT_ANSWER_MS, asker })
+    const requester = { address, probe: message.probe }
+    const number = this.track({ target: target.name, stage: Stage.OnBehalf, deadline: this.now() + INDIRECT_ACK_TIMEOUT_MS, requester })
     this.send(target, number)
   }
 
   private send (target: Member, number: number): void {
-    this.membership.messenger.send(target.address, { kind: MessageKind.Probe, probe: number, entries: this.membership.newsFor(target.name) })
+    this.membership.messenger.send(target.address, { kind: MessageKind.Probe, probe: number, entries: this.membership.entriesFor(target.name) })
   }
 
   private track (probe: Probe): number {
-    this.number += 1
-    this.probes.set(this.number, probe)
-    return this.number
+    this.lastNumber += 1
+    this.probes.set(this.lastNumber, probe)
+    return this.lastNumber
   }
 
   private expire (): void {
@@ -112,23 +112,23 @@
     for (const [number, probe] of this.probes) {
       if (probe.deadline <= now) {
         this.probes.delete(number)
-        this.expired[probe.stage](number, probe)
+        this.onExpired[probe.stage](number, probe)
       }
     }
   }
 
-  private askHelpers (number: number, { target }: Probe): void {
-    const helpers = this.membership.pick(this.membership.others().filter(member => member.name !== target), HELPERS)
-    this.probes.set(number, { target, stage: Stage.Indirect, deadline: this.now() + INDIRECT_ANSWER_MS })
-    helpers.forEach(helper => this.membership.messenger.send(helper.address, { kind: MessageKind.ProbeFor, probe: number, about: target }))
+  private probeIndirectly (number: number, { target }: Probe): void {
+    const probers = this.membership.pickRandom(this.membership.others().filter(member => member.name !== target), INDIRECT_PROBE_COUNT)
+    this.probes.set(number, { target, stage: Stage.Indirect, deadline: this.now() + INDIRECT_ACK_TIMEOUT_MS })
+    probers.forEach(helper => this.membership.messenger.send(helper.address, { kind: MessageKind.IndirectProbe, probe: number, about: target }))
   }
 
   private nextTarget (): Member | undefined {
-    if (this.round.length === 0) {
+    if (this.remainingTargets.length === 0) {
       const names = this.membership.others().map(member => member.name)
-      this.round = [...this.membership.pick(names, names.length)]
+      this.remainingTargets = [...this.membership.pickRandom(names, names.length)]
     }
-    const name = this.round.pop()
+    const name = this.remainingTargets.pop()
     const member = name === undefined ? undefined : this.membership.table.get(name)
     return member !== undefined && member.deadline === Infinity ? member : undefined
   }
--- a/packages/foxtaillever-fleet/src/membership/self.ts
+++ b/packages/foxtaillever-fleet/src/membership/self.ts
@@ -1,6 +1,6 @@
 /**
- * This instance as a member: the only one that may raise its incarnation or
- * say that it leaves.
+ * This instance as a member. Only the instance itself may raise its incarnation
+ * or announce that it leaves.
  */
 import { MemberState, type MemberEntry } from './member.js'
 
@@ -8,11 +8,11 @@
 
 export class Self {
   private sequence = 0
-  private replaced = false
+  private superseded = false
 
   private constructor (private current: MemberEntry) {}
 
-  /** @param startedAt milliseconds of Unix time; the incarnation. */
+  /** @param startedAt milliseconds of Unix time; used as the incarnation. */
   static create (description: SelfDescription, startedAt: number): Self {
     return new Self({ ...description, incarnation: Math.floor(startedAt), state: MemberState.Alive })
   }
@@ -21,18 +21,18 @@
     return this.current
   }
 
-  /** Number of the next message. */
+  /** Sequence number of the next message. */
   nextSequence (): number {
     this.sequence += 1
     return this.sequence
   }
 
-  /** Whether a later process has taken this one's name. */
+  /** Whether a later process has this instance's name. */
   isSuperseded (): boolean {
-    return this.replaced
+    return this.superseded
   }
 
-  /** Addresses that the system chose; the raised incarnation overrides what was said before. */
+  /** Sets addresses that the operating system chose; the raised incarnation replaces the earlier entry. */
   setAddresses (addresses: Pick<SelfDescription, 'address' | 'controlAddress'>): void {
     this.current = { ...this.current, ...addresses, incarnation: this.current.incarnation + 1 }
   }
@@ -42,17 +42,17 @@
   }
 
   /**
-   * Answers what others say of this instance. Called dead or suspect, it raises
-   * its incarnation, which overrides the false word everywhere. A word of a
-   * later incarnation than its own means that another process bears its name.
-   * @returns whether the entry changed and has to be told.
+   * Handles an entry of others about this instance. If it is reported suspect or
+   * dead, it raises its incarnation, which replaces the false entry everywhere.
+   * A later incarnation than its own means that another process has its name.
+   * @returns whether the own entry changed and must be announced.
    */
-  answer (entry: MemberEntry): boolean {
+  refute (entry: MemberEntry): boolean {
     if (entry.incarnation > this.current.incarnation && entry.state === MemberState.Alive) {
-      this.replaced = true
+      this.superseded = true
       return false
     }
-    if (this.replaced || this.current.state === MemberState.Left) {
+    if (this.superseded || this.current.state === MemberState.Left) {
       return false
     }
     if (entry.state === MemberState.Alive || entry.incarnation < this.current.incarnation) {
--- a/packages/foxtaillever-fleet/src/membership/systems.ts
+++ b/packages/foxtaillever-fleet/src/membership/systems.ts
@@ -1,6 +1,6 @@
 /**
- * The systems of one instance in the order in which they run, and the way of
- * each message through them.
+ * The systems of one instance in the order in which they run, and the dispatch
+ * of each message to them.
  */
 import type { Clock, InstanceList } from 'foxtaillever-core'
 import type { ConfigurationStore } from '../configuration/configurationStore.js'
@@ -9,17 +9,17 @@
 import { FactSystem } from '../softState/factSystem.js'
 import type { Membership } from './membership.js'
 import { MessageKind, type Message } from './message.js'
-import { NewsSystem } from './newsSystem.js'
+import { MembershipUpdateSystem } from './membershipUpdateSystem.js'
 import type { Peers } from './peers.js'
 import { ProbeSystem } from './probeSystem.js'
-import { SeedSystem, type ListedAddress } from './seedSystem.js'
+import { DiscoverySystem, type ListedAddressResolver } from './discoverySystem.js'
 import { SyncSystem } from './syncSystem.js'
 
 export interface SystemParts {
   readonly seeds: readonly string[]
   readonly instances: InstanceList
-  /** Without it, instances take datagrams at the listed address. */
-  readonly gossipAddressOf?: ListedAddress
+  /** If not given, instances receive datagrams at the listed address. */
+  readonly gossipAddressOf?: ListedAddressResolver
   readonly peers: Peers
   readonly clock: Clock
   /** When the log last answered, milliseconds of Unix time. */
@@ -30,8 +30,8 @@
 
 export class Systems {
   readonly probes: ProbeSystem
-  readonly news: NewsSystem
-  readonly seeds: SeedSystem
+  readonly updates: MembershipUpdateSystem
+  readonly discovery: DiscoverySystem
   readonly sync: SyncSystem
   readonly pulls: PullSystem
   readonly inForce: InForceSystem
@@ -40,18 +40,18 @@
 
   private constructor (private readonly membership: Membership, store: ConfigurationStore, parts: SystemParts) {
     this.probes = ProbeSystem.create(membership)
-    this.news = NewsSystem.create(membership)
-    this.seeds = SeedSystem.create(membership, parts.seeds, parts.instances, parts.gossipAddressOf ?? (({ address }) => address), parts.clock)
+    this.updates = MembershipUpdateSystem.create(membership)
+    this.discovery = DiscoverySystem.create(membership, parts.seeds, parts.instances, parts.gossipAddressOf ?? (({ address }) => address), parts.clock)
     this.sync = SyncSystem.create(membership, parts.peers)
     this.pulls = PullSystem.create(store, parts)
     this.inForce = InForceSystem.create(store, membership, this.probes, parts.clock)
     this.facts = FactSystem.create(membership)
-    store.onChange(() => this.news.tellRevision())
+    store.onChange(() => this.updates.announceRevision())
     this.handlers = {
       [MessageKind.Probe]: (message, address) => this.probes.receiveProbe(message, address),
       [MessageKind.Ack]: message => this.probes.receiveAck(message),
-      [MessageKind.ProbeFor]: (message, address) => this.probes.receiveProbeFor(message, address),
-      [MessageKind.News]: () => {},
+      [MessageKind.IndirectProbe]: (message, address) => this.probes.receiveIndirectProbe(message, address),
+      [MessageKind.MemberUpdates]: () => {},
       [MessageKind.Facts]: message => this.facts.receive(message)
     }
   }
@@ -64,25 +64,25 @@
     this.membership.messenger.tick()
     this.membership.tick()
     this.probes.tick()
-    this.seeds.tick()
-    this.news.tick()
+    this.discovery.tick()
+    this.updates.tick()
     this.facts.tick()
     this.pulls.tick()
     this.inForce.tick()
   }
 
   /**
-   * This process was paused. Answers that came meanwhile are lost, so what it
-   * would now conclude of others is wrong: it starts anew with its doubts.
+   * Called after this process was paused. Acknowledgements that arrived meanwhile
+   * are lost, so probes in flight are dropped and suspicions start again.
    */
-  wake (): void {
-    this.probes.clear()
-    this.membership.table.postponeSuspicions(this.membership.clock.now())
+  resumeAfterPause (): void {
+    this.probes.clearProbes()
+    this.membership.table.restartSuspicions(this.membership.clock.now())
   }
 
   receive (message: Message): void {
     if (message.sender === this.membership.name()) {
-      message.entries.forEach(entry => this.membership.learn(entry, false))
+      message.entries.forEach(entry => this.membership.applyEntry(entry, false))
       return
     }
     this.membership.receive(message)
@@ -96,8 +96,8 @@
     this.handlers[message.kind]?.(message, sender.address)
   }
 
-  /** Tells a process that woke up late that another bears its name now. */
-  answerSuperseded (message: Message): void {
+  /** Notifies a process that resumed after a long pause that another one has its name now. */
+  notifySuperseded (message: Message): void {
     const known = this.membership.table.get(message.sender)
     const old = message.entries.find(entry => entry.name === message.sender)
     if (known !== undefined && old !== undefined && old.incarnation < known.incarnation) {
--- a/packages/foxtaillever-fleet/src/membership/trpcPeers.ts
+++ b/packages/foxtaillever-fleet/src/membership/trpcPeers.ts
@@ -14,12 +14,12 @@
 /** Path below which the peer router is mounted. */
 export const PEER_PATH = '/fleet'
 
-/** How long one call may take, milliseconds; a slow peer must not hold up a restart. */
-const CALL_MS = 3000
+/** Timeout of one call, milliseconds; a slow peer must not delay a restart. */
+const CALL_TIMEOUT_MS = 3000
 
 const NONCE_BOUND = 2 ** 32
 
-type Caller = (sealed: { sealed: string }, signal: AbortSignal) => Promise<{ sealed: string }>
+type SendCall = (sealed: { sealed: string }, signal: AbortSignal) => Promise<{ sealed: string }>
 
 export class TrpcPeers implements Peers {
   private readonly incarnation: number
@@ -35,12 +35,12 @@
     this.incarnation = Math.floor(clock.now())
   }
 
-  /** @param name of this instance. */
+  /** @param name the name of this instance. */
   static create (name: string, keys: KeyRing, clock: Clock, random: Random): TrpcPeers {
     return new TrpcPeers(name, keys, clock, random)
   }
 
-  /** Bytes of all answers so far. */
+  /** Bytes of all answers received so far. */
   receivedBytes (): number {
     return this.received
   }
@@ -62,10 +62,10 @@
     return answer.map(entries => entries.filter(isEntry).map(unpackEntry))
   }
 
-  private async call<Value> (procedure: PeerProcedure, send: Caller, revision = 0): Promise<Either<Failure, Value>> {
+  private async call<Value> (procedure: PeerProcedure, send: SendCall, revision = 0): Promise<Either<Failure, Value>> {
     const call = this.createCall(procedure, revision)
     try {
-      const { sealed } = await send(sealValue(this.keys, call), AbortSignal.timeout(CALL_MS))
+      const { sealed } = await send(sealValue(this.keys, call), AbortSignal.timeout(CALL_TIMEOUT_MS))
       this.received += sealed.length
       const answer = openValue<PeerAnswer>(this.keys, sealed).filter(({ nonce }) => nonce === call.nonce)
       return answer.map(({ value }) => value as Value).toEither(Failure.notRun(FailureCode.Unauthenticated, 'The answer is not signed by a member.'))
--- a/packages/foxtaillever-fleet/src/softState/factSystem.ts
+++ b/packages/foxtaillever-fleet/src/softState/factSystem.ts
@@ -5,7 +5,7 @@
  * but never queues without bound.
  */
 import type { Membership } from '../membership/membership.js'
-import { factBytes, LARGEST_PAYLOAD_BYTES, MessageKind, type Message } from '../membership/message.js'
+import { factBytes, MAX_PAYLOAD_BYTES, MessageKind, type Message } from '../membership/message.js'
 import { factId, FactKind, type Fact } from './fact.js'
 import { FactTable } from './factTable.js'
 import { RelayTrees } from './relayTree.js'
@@ -143,7 +143,7 @@
 
   private sendSome (address: string, outbox: Map<string, Fact>, room: number, isMeant: (fact: Fact) => boolean): number {
     const now = this.membership.clock.now()
-    const facts = takeFacts(outbox, Math.min(room, LARGEST_PAYLOAD_BYTES) - FIXED_PART_BYTES, isMeant, now)
+    const facts = takeFacts(outbox, Math.min(room, MAX_PAYLOAD_BYTES) - FIXED_PART_BYTES, isMeant, now)
     if (facts.length === 0) {
       return 0
     }
