--- a/packages/foxtaillever-fleet/src/softState/__tests__/softState.test.ts
+++ b/packages/foxtaillever-fleet/src/softState/__tests__/softState.test.ts
@@ -17,11 +17,11 @@
 
 describe('soft state', () => {
   describe('FactTable', () => {
-    it('keeps the latest word until its deadline', t => {
+    it('keeps the latest version of a fact until its deadline', t => {
       const table = FactTable.create()
-      t.true(table.put(fact, 0))
-      t.false(table.put({ ...fact, version: 1, value: 0 }, 0))
-      t.false(table.put(fact, 0))
+      t.true(table.applyFact(fact, 0))
+      t.false(table.applyFact({ ...fact, version: 1, value: 0 }, 0))
+      t.false(table.applyFact(fact, 0))
       table.expire(499)
       t.is(table.of(FactKind.ServerLoad).length, 1)
       table.expire(500)
@@ -29,15 +29,15 @@
       t.is(table.size(), 0)
     })
 
-    it('takes nothing that is past its deadline or claims to hold for ever', t => {
+    it('refuses a fact that is past its deadline or has an infinite one', t => {
       const table = FactTable.create()
-      t.false(table.put(fact, 500))
-      t.false(table.put({ ...fact, deadline: Infinity }, 0))
+      t.false(table.applyFact(fact, 500))
+      t.false(table.applyFact({ ...fact, deadline: Infinity }, 0))
     })
   })
 
   describe('computed tree', () => {
-    it('hands each fact to each member exactly once, at every size', t => {
+    it('delivers each fact to each member exactly once, at every size', t => {
       fc.assert(fc.property(fc.integer({ min: 2, max: 400 }), fc.nat(), (count, pick) => {
         const names = Array.from({ length: count }, (_, index) => `instance-${index}`)
         const source = names[pick % count]!
@@ -47,27 +47,28 @@
       }), { seed: 2, numRuns: 20 })
     })
 
-    it('is all to all up to one more member than a node has children', t => {
+    it('has one level up to one more member than a node has children', t => {
       const names = Array.from({ length: TREE_FAN_OUT + 1 }, (_, index) => `instance-${index}`)
       t.is(childrenOf('instance-3', 'instance-3', names).length, TREE_FAN_OUT)
     })
   })
 
-  it('reaches all instances and is gone after its deadline', async t => {
+  it('reaches all instances and expires at its deadline', async t => {
     const { clock, instances } = await createFleet(12)
-    const heard: string[] = []
-    instances[11]!.fleet.onFact(({ key }) => heard.push(key))
+    const received: string[] = []
+    instances[11]!.fleet.onFact(({ key }) => received.push(key))
     t.true(instances[0]!.fleet.share(FactKind.Suspect, 'digest', { deaths: 1 }, clock.now() + 5000))
     await clock.advanceBy(1200)
     instances.forEach(({ fleet }) => t.deepEqual(fleet.facts(FactKind.Suspect).map(({ value }) => value), [{ deaths: 1 }]))
-    t.deepEqual(heard, ['digest'])
+    t.deepEqual(received, ['digest'])
     await clock.advanceBy(5000)
     instances.forEach(({ fleet }) => t.is(fleet.facts(FactKind.Suspect).length, 0))
   })
 
-  it('grows older under overload instead of piling up, and urgent facts go first', async t => {
-    // One instance tells far more than a tick may carry. The suspects of crashes
-    // must still get through at once, and the rest must not pile up in memory.
+  it('gets older under overload without unbounded queues, and urgent facts go first', async t => {
+    // One instance shares far more facts than a tick may send. Facts about
+    // suspected requests must still be sent at once, and the queue of the others
+    // must stay bounded.
     const { clock, instances } = await createFleet(4)
     const [sender, receiver] = [instances[0]!.fleet, instances[1]!.fleet]
     const shareAll = (): void => {
@@ -87,7 +88,7 @@
     t.is(sender.dump().factsWaiting, 0)
   })
 
-  it('refuses a fact that no datagram carries', async t => {
+  it('refuses a fact that does not fit into a datagram', async t => {
     const { clock, instances } = await createFleet(2)
     t.false(instances[0]!.fleet.share(FactKind.HotPrefix, 'prefix', 'x'.repeat(2000), clock.now() + 1000))
   })
--- a/packages/foxtaillever-fleet/src/softState/fact.ts
+++ b/packages/foxtaillever-fleet/src/softState/fact.ts
@@ -1,37 +1,38 @@
 /**
- * Soft state: what an instance tells all others and repeats while it holds. A
- * fact is gone at its deadline, so that the silent are forgotten.
+ * Soft state: facts that an instance sends to all others and repeats while they
+ * hold. A fact expires at its deadline, so that facts of an instance that no
+ * longer sends are dropped.
  */
 export enum FactKind {
   /** A request suspected of crashing backend servers. */
   Suspect = 1,
-  /** An account's demand here, for accounts near their limit. */
+  /** Demand of a client account at the sending instance, for accounts near their limit. */
   AccountDemand = 2,
-  /** That knowledge of a backend server's cache is doubtful. */
-  CacheDoubt = 3,
-  /** What a backend server reported of its load. */
+  /** What is known of a backend server's cache may be wrong. */
+  CacheStateUncertain = 3,
+  /** Load that a backend server reported. */
   ServerLoad = 4,
-  /** A prefix that many requests share now. */
+  /** A prefix that many requests share at present. */
   HotPrefix = 5,
-  /** Thinned cache events of a backend server. */
+  /** Summary of a backend server's cache events. */
   CacheSummary = 6
 }
 
 export interface Fact {
-  /** Name of the instance that says it. */
+  /** Name of the instance that states the fact. */
   readonly source: string
   readonly kind: FactKind
-  /** What it is about: an account, a backend server, a digest. */
+  /** Subject of the fact: an account, a backend server or a digest. */
   readonly key: string
-  /** Rises with each word of one source on one key. */
+  /** Rises with each statement of one source about one key. */
   readonly version: number
   /** Milliseconds of Unix time. */
   readonly deadline: number
-  /** Small; encoded by msgpackr. */
+  /** A small value; encoded by msgpackr. */
   readonly value: unknown
 }
 
-/** One name for all words of one source on one key. */
+/** Identifies all statements of one kind from one source about one key. */
 export function factId ({ source, kind, key }: Pick<Fact, 'source' | 'kind' | 'key'>): string {
   return `${kind}/${key}/${source}`
 }
--- a/packages/foxtaillever-fleet/src/softState/factSystem.ts
+++ b/packages/foxtaillever-fleet/src/softState/factSystem.ts
@@ -1,8 +1,8 @@
 /**
- * Sends this instance's facts down its computed tree and passes on those of
- * others. What does not fit a tick's bytes waits, and is replaced by a newer
- * word on the same thing if one comes, so that overload makes soft state older
- * but never queues without bound.
+ * Sends this instance's facts down its computed tree and forwards those of
+ * others. Facts beyond the byte limit of a tick are queued, and a newer version
+ * replaces a queued one, so that overload makes soft state older but never grows
+ * the queue without bound.
  */
 import type { Membership } from '../membership/membership.js'
 import { factBytes, MAX_PAYLOAD_BYTES, MessageKind, type Message } from '../membership/message.js'
@@ -10,17 +10,17 @@
 import { FactTable } from './factTable.js'
 import { RelayTrees } from './relayTree.js'
 
-/** Room for the fixed part of a message, bytes. */
+/** Space reserved for the fixed part of a message, bytes. */
 const FIXED_PART_BYTES = 130
 
 /** Fixed cost of one datagram, bytes: fixed part and headers. */
 const DATAGRAM_BYTES = FIXED_PART_BYTES + 28
 
-/** Bytes of facts that one tick may send: 3 KB/s of the 14 at two ticks a second, as much again received. */
+/** Bytes of facts that one tick may send: at two ticks a second, 3 KB/s of the budget of 14 KB/s, and as much again received. */
 const BYTES_PER_TICK = 1500
 
-/** Largest fact, so that it fits a message with any others. */
-const LARGEST_FACT_BYTES = 600
+/** Maximum size of a fact, bytes; it fits into any message. */
+const MAX_FACT_BYTES = 600
 
 export type FactListener = (fact: Fact) => void
 
@@ -41,18 +41,18 @@
   }
 
   /**
-   * Tells all instances a fact that holds until the deadline.
-   * @returns whether it was small enough to be told.
+   * Sends all instances a fact that holds until the deadline.
+   * @returns whether it was small enough to be sent.
    */
   share (kind: FactKind, key: string, value: unknown, deadline: number): boolean {
-    // Rises over restarts too, so that a restarted instance is believed at once.
+    // The version rises over restarts too, so that facts of a restarted instance are accepted at once.
     this.version = Math.max(this.version + 1, Math.floor(this.membership.clock.now()))
     const fact: Fact = { source: this.membership.name(), kind, key, version: this.version, deadline: Math.floor(deadline), value }
-    if (factBytes(fact) > LARGEST_FACT_BYTES) {
+    if (factBytes(fact) > MAX_FACT_BYTES) {
       return false
     }
-    if (this.table.put(fact, this.membership.clock.now())) {
-      this.post(fact)
+    if (this.table.applyFact(fact, this.membership.clock.now())) {
+      this.enqueue(fact)
     }
     return true
   }
@@ -65,19 +65,19 @@
   receive (message: Message): void {
     const now = this.membership.clock.now()
     for (const fact of message.facts) {
-      if (fact.source !== this.membership.name() && this.table.put(fact, now)) {
-        this.post(fact)
-        this.listeners.forEach(listener => this.hand(fact, listener))
+      if (fact.source !== this.membership.name() && this.table.applyFact(fact, now)) {
+        this.enqueue(fact)
+        this.listeners.forEach(listener => this.notifyListener(fact, listener))
       }
     }
   }
 
-  /** Facts that a listener could not read. */
+  /** Number of facts that a listener failed to read. */
   unreadableCount (): number {
     return this.unreadable
   }
 
-  /** Facts waiting to be sent. */
+  /** Number of facts that wait to be sent. */
   waitingCount (): number {
     return [...this.outboxes.values()].reduce((sum, outbox) => sum + outbox.size, 0)
   }
@@ -85,11 +85,11 @@
   /** Run each tick. */
   tick (): void {
     this.table.expire(this.membership.clock.now())
-    this.flush()
+    this.sendQueued()
   }
 
-  /** A member with another release may mean something else by a fact; that must not end this process. */
-  private hand (fact: Fact, listener: FactListener): void {
+  /** A member with another release may use another format for a fact's value; that must not crash this process. */
+  private notifyListener (fact: Fact, listener: FactListener): void {
     try {
       listener(fact)
     } catch {
@@ -97,7 +97,7 @@
     }
   }
 
-  private post (fact: Fact): void {
+  private enqueue (fact: Fact): void {
     for (const child of this.trees.childrenFor(fact.source)) {
       const outbox = this.outboxes.get(child) ?? new Map<string, Fact>()
       outbox.set(factId(fact), fact)
@@ -105,35 +105,35 @@
     }
   }
 
-  /** Suspects go to every receiver before anything else goes to one. */
-  private flush (): void {
-    const room = this.sendAll(BYTES_PER_TICK, isUrgent)
-    this.sendAll(room, () => true)
+  /** Sends suspected requests to all receivers before any other fact. */
+  private sendQueued (): void {
+    const bytesLeft = this.sendAll(BYTES_PER_TICK, isUrgent)
+    this.sendAll(bytesLeft, () => true)
   }
 
-  /** @returns the room that is left, bytes. */
-  private sendAll (bytes: number, isMeant: (fact: Fact) => boolean): number {
-    let room = bytes
+  /** @returns the number of bytes left. */
+  private sendAll (bytes: number, isSelected: (fact: Fact) => boolean): number {
+    let bytesLeft = bytes
     for (const [name, outbox] of [...this.outboxes]) {
       const target = this.membership.table.get(name)
-      // Without a deadline the member is alive; suspects and the gone get nothing.
+      // Only members that are alive have no deadline; suspect and gone members get no facts.
       if (target === undefined || target.deadline !== Infinity) {
         this.outboxes.delete(name)
         continue
       }
-      if (room < DATAGRAM_BYTES) {
+      if (bytesLeft < DATAGRAM_BYTES) {
         break
       }
-      const sent = this.sendSome(target.address, outbox, room, isMeant)
-      room -= sent
+      const sent = this.sendBatch(target.address, outbox, bytesLeft, isSelected)
+      bytesLeft -= sent
       if (sent > 0) {
         this.requeue(name, outbox)
       }
     }
-    return room
+    return bytesLeft
   }
 
-  /** Puts what is left of an outbox last, so that all receivers take turns. */
+  /** Moves an outbox with remaining facts to the end, so that receivers take turns. */
   private requeue (name: string, outbox: Map<string, Fact>): void {
     this.outboxes.delete(name)
     if (outbox.size > 0) {
@@ -141,9 +141,9 @@
     }
   }
 
-  private sendSome (address: string, outbox: Map<string, Fact>, room: number, isMeant: (fact: Fact) => boolean): number {
+  private sendBatch (address: string, outbox: Map<string, Fact>, bytesLeft: number, isSelected: (fact: Fact) => boolean): number {
     const now = this.membership.clock.now()
-    const facts = takeFacts(outbox, Math.min(room, MAX_PAYLOAD_BYTES) - FIXED_PART_BYTES, isMeant, now)
+    const facts = takeFacts(outbox, Math.min(bytesLeft, MAX_PAYLOAD_BYTES) - FIXED_PART_BYTES, isSelected, now)
     if (facts.length === 0) {
       return 0
     }
@@ -152,25 +152,25 @@
   }
 }
 
-/** Without it in time, a request that crashes backend servers takes one more. */
+/** A late fact about a suspected request lets that request crash another backend server. */
 function isUrgent (fact: Fact): boolean {
   return fact.kind === FactKind.Suspect
 }
 
-/** Takes facts out of the outbox up to so many bytes, urgent kinds first. */
-function takeFacts (outbox: Map<string, Fact>, bytes: number, isMeant: (fact: Fact) => boolean, now: number): readonly Fact[] {
+/** Takes facts from the outbox up to so many bytes, urgent kinds first. */
+function takeFacts (outbox: Map<string, Fact>, bytes: number, isSelected: (fact: Fact) => boolean, now: number): readonly Fact[] {
   const taken: Fact[] = []
-  let room = bytes
+  let bytesLeft = bytes
   for (const [id, fact] of [...outbox].sort(([, a], [, b]) => a.kind - b.kind)) {
     if (fact.deadline <= now) {
       outbox.delete(id)
       continue
     }
     const size = factBytes(fact)
-    if (size > room || !isMeant(fact)) {
+    if (size > bytesLeft || !isSelected(fact)) {
       continue
     }
-    room -= size
+    bytesLeft -= size
     outbox.delete(id)
     taken.push(fact)
   }
--- a/packages/foxtaillever-fleet/src/softState/factTable.ts
+++ b/packages/foxtaillever-fleet/src/softState/factTable.ts
@@ -3,11 +3,11 @@
  */
 import { factId, FactKind, type Fact } from './fact.js'
 
-/** Facts kept at once; at some 200 bytes each this stays under a sixth of the 32 MB. */
-const MOST_FACTS = 24_000
+/** Maximum number of facts; at some 200 bytes each they take less than a sixth of the memory budget of 32 MB. */
+const MAX_FACTS = 24_000
 
-/** No fact outlives this, whatever deadline a source with a wrong clock names, milliseconds. */
-const LONGEST_LIFE_MS = 600_000
+/** Maximum time to a fact's deadline, milliseconds; guards against sources with a wrong clock. */
+const MAX_LIFETIME_MS = 600_000
 
 export class FactTable {
   private readonly kinds = new Map<FactKind, Map<string, Fact>>()
@@ -20,18 +20,18 @@
     return new FactTable()
   }
 
-  /** Takes a fact unless it is expired or older than what is known; says whether it was news. */
-  put (fact: Fact, now: number): boolean {
-    if (fact.deadline <= now || fact.deadline > now + LONGEST_LIFE_MS) {
+  /** Stores a fact unless it has expired, its deadline is too late, its version is known or the table is full; returns whether it was stored. */
+  applyFact (fact: Fact, now: number): boolean {
+    if (fact.deadline <= now || fact.deadline > now + MAX_LIFETIME_MS) {
       return false
     }
-    const facts = this.kindOf(fact.kind)
+    const facts = this.factsOfKind(fact.kind)
     const id = factId(fact)
     const known = facts.get(id)
     if (known !== undefined && known.version >= fact.version) {
       return false
     }
-    if (known === undefined && this.count >= MOST_FACTS) {
+    if (known === undefined && this.count >= MAX_FACTS) {
       this.refused += 1
       return false
     }
@@ -52,12 +52,12 @@
     return this.count
   }
 
-  /** Facts not taken because the table was full. */
+  /** Number of facts refused because the table was full. */
   refusedCount (): number {
     return this.refused
   }
 
-  /** Drops what is past its deadline; run each tick. */
+  /** Removes facts past their deadline; run each tick. */
   expire (now: number): void {
     for (const facts of this.kinds.values()) {
       for (const [id, fact] of facts) {
@@ -69,7 +69,7 @@
     }
   }
 
-  private kindOf (kind: FactKind): Map<string, Fact> {
+  private factsOfKind (kind: FactKind): Map<string, Fact> {
     const facts = this.kinds.get(kind) ?? new Map<string, Fact>()
     this.kinds.set(kind, facts)
     return facts
--- a/packages/foxtaillever-fleet/src/softState/relayTree.ts
+++ b/packages/foxtaillever-fleet/src/softState/relayTree.ts
@@ -1,33 +1,34 @@
 /**
  * The computed tree along which the facts of one source travel. Every instance
  * with the same members computes the same tree, so each fact reaches each
- * instance once; gossip sends it there some eighteen times. With eight children
- * a fleet of nine is one level deep, that is, all to all.
+ * instance once; gossip would send it to each some eighteen times. With eight
+ * children, the tree of a fleet of nine has one level: every source sends
+ * directly to all others.
  */
 import { hashNumber } from 'foxtaillever-core'
 import type { MemberTable } from '../membership/memberTable.js'
 
-/** Children of each member of the tree. */
+/** Number of children of each member in the tree. */
 export const TREE_FAN_OUT = 8
 
-/** Names that the member sends the source's facts on to. */
+/** Names of the members to which a member forwards the source's facts. */
 export function childrenOf (source: string, name: string, names: readonly string[]): readonly string[] {
   const seed = hashNumber(source)
-  const order = names
+  const ranking = names
     .filter(candidate => candidate !== source)
     .map(candidate => ({ candidate, score: hashNumber(candidate, seed) }))
     .sort((a, b) => a.score - b.score || (a.candidate < b.candidate ? -1 : 1))
     .map(({ candidate }) => candidate)
-  // The source stands at 0, the others from 1 on.
-  const position = name === source ? 0 : order.indexOf(name) + 1
+  // The source is at position 0, the others start at 1.
+  const position = name === source ? 0 : ranking.indexOf(name) + 1
   if (name !== source && position === 0) {
     return []
   }
   const first = position * TREE_FAN_OUT
-  return order.slice(first, first + TREE_FAN_OUT)
+  return ranking.slice(first, first + TREE_FAN_OUT)
 }
 
-/** Keeps computed children until the members change. */
+/** Caches computed children until the members change. */
 export class RelayTrees {
   private readonly children = new Map<string, readonly string[]>()
   private version = -1
