--- a/packages/foxtaillever-fleet/src/security/__tests__/security.test.ts
+++ b/packages/foxtaillever-fleet/src/security/__tests__/security.test.ts
@@ -19,7 +19,7 @@
       t.true(open(KeyRing.create([{ ...second, id: 'k1' }]), Permission.Join, sealed).isNothing())
     })
 
-    it('opens nothing of which any bit was changed or cut off, and never throws', t => {
+    it('opens nothing with a changed bit or missing bytes, and never throws', t => {
       const ring = KeyRing.create([first])
       const sealed = seal(ring, Permission.Join, payload)
       fc.assert(fc.property(fc.nat(sealed.length * 8 - 1), bit => {
@@ -33,21 +33,21 @@
   })
 
   describe('rotation', () => {
-    it('accepts both keys while both are there, signs with the first, and ends with the new one', t => {
-      // Operators change a key while the fleet runs. At no step may instances
-      // with the old and the new settings refuse each other.
-      const [old, fresh] = [KeyRing.create([first]), KeyRing.create([first])]
-      const agree = (one: KeyRing, other: KeyRing): boolean =>
-        open(other, Permission.Join, seal(one, Permission.Join, payload)).isJust() &&
-        open(one, Permission.Join, seal(other, Permission.Join, payload)).isJust()
+    it('accepts both keys while both are configured, signs with the first, and ends with the new one', t => {
+      // Operators rotate a key while the fleet runs. At no step may instances with
+      // the old and the new settings refuse each other.
+      const [old, updated] = [KeyRing.create([first]), KeyRing.create([first])]
+      const acceptEachOther = (a: KeyRing, b: KeyRing): boolean =>
+        open(b, Permission.Join, seal(a, Permission.Join, payload)).isJust() &&
+        open(a, Permission.Join, seal(b, Permission.Join, payload)).isJust()
       const steps = [[first, second], [second, first], [second]]
       for (const keys of steps) {
-        fresh.replace(keys)
-        t.true(agree(old, fresh))
+        updated.replace(keys)
+        t.true(acceptEachOther(old, updated))
         old.replace(keys)
-        t.true(agree(old, fresh))
+        t.true(acceptEachOther(old, updated))
       }
-      t.true(open(fresh, Permission.Join, seal(KeyRing.create([first]), Permission.Join, payload)).isNothing())
+      t.true(open(updated, Permission.Join, seal(KeyRing.create([first]), Permission.Join, payload)).isNothing())
     })
 
     it('refuses keys that are too short or share an id', t => {
@@ -77,7 +77,7 @@
       t.is(guard.admit({ ...origin, incarnation: 6, sequence: 1 }, 1001), Admission.New)
     })
 
-    it('admits nothing recorded long ago, though its sender was forgotten since', t => {
+    it('refuses an old message even after its sender was removed', t => {
       const guard = ReplayGuard.create()
       guard.admit(origin, 1000)
       guard.expire(1_000_000)
--- a/packages/foxtaillever-fleet/src/security/replayGuard.ts
+++ b/packages/foxtaillever-fleet/src/security/replayGuard.ts
@@ -1,17 +1,17 @@
 /**
- * Refuses messages that were seen before. Without it a recorded message could
- * be sent again to bring back a member that has left, or to keep a dead one
- * alive. Each sender numbers its messages within its incarnation; a number that
- * is not above the last one is refused, and so is an older incarnation.
+ * Refuses replayed messages. Without it an attacker could send a recorded
+ * message again to bring back a member that has left, or to keep a dead one
+ * alive. Each sender numbers its messages within its incarnation; a message is
+ * refused if its number is not above the last one or its incarnation is older.
  */
 
-/** How far clocks of instances may differ, and how long a message may travel, milliseconds. */
-const FRESHNESS_MS = 60_000
+/** Maximum difference between the send time and this instance's clock, milliseconds; covers clock differences and delivery. */
+const MAX_CLOCK_DIFFERENCE_MS = 60_000
 
 /** What identifies one message. */
 export interface MessageOrigin {
   readonly sender: string
-  /** Milliseconds of Unix time at which the sender started; raised to refute its own death. */
+  /** When the sender started, milliseconds of Unix time; raised to refute a false report of its death. */
   readonly incarnation: number
   readonly sequence: number
   /** Sender's clock, milliseconds of Unix time. */
@@ -21,21 +21,21 @@
 export enum Admission {
   New = 'new',
   Repeated = 'repeated',
-  /** Too old, or from a clock that is far off. */
+  /** Too old, or the sender's clock is too far off. */
   Stale = 'stale',
-  /** From a process whose name a later one bears. */
+  /** From a process that a later one with the same name has replaced. */
   Superseded = 'superseded'
 }
 
 interface LastMessage {
   readonly incarnation: number
   readonly sequence: number
-  /** When this entry may be dropped: by then the message is too old to pass. */
+  /** When this entry may be removed: from then on the message is refused by its age. */
   readonly deadline: number
 }
 
 export class ReplayGuard {
-  private readonly last = new Map<string, LastMessage>()
+  private readonly lastMessages = new Map<string, LastMessage>()
 
   private constructor () {}
 
@@ -43,13 +43,13 @@
     return new ReplayGuard()
   }
 
-  /** Whether the message is new; if so it is remembered. */
+  /** Checks whether the message is new, and records it if so. */
   admit (origin: MessageOrigin, now: number): Admission {
-    // Written so that a value that is no number is refused too.
-    if (!(Math.abs(now - origin.sentAt) <= FRESHNESS_MS)) {
+    // Negated, so that a value that is not a number is refused too.
+    if (!(Math.abs(now - origin.sentAt) <= MAX_CLOCK_DIFFERENCE_MS)) {
       return Admission.Stale
     }
-    const last = this.last.get(origin.sender)
+    const last = this.lastMessages.get(origin.sender)
     if (last !== undefined && !(origin.incarnation >= last.incarnation)) {
       return Admission.Superseded
     }
@@ -57,15 +57,15 @@
       return Admission.Repeated
     }
     const { incarnation, sequence } = origin
-    this.last.set(origin.sender, { incarnation, sequence, deadline: now + 2 * FRESHNESS_MS })
+    this.lastMessages.set(origin.sender, { incarnation, sequence, deadline: now + 2 * MAX_CLOCK_DIFFERENCE_MS })
     return Admission.New
   }
 
-  /** Drops senders whose recorded messages are refused by age anyway; run each tick. */
+  /** Removes senders whose recorded messages are refused by their age anyway; run each tick. */
   expire (now: number): void {
-    for (const [sender, last] of this.last) {
+    for (const [sender, last] of this.lastMessages) {
       if (last.deadline < now) {
-        this.last.delete(sender)
+        this.lastMessages.delete(sender)
       }
     }
   }
--- a/packages/foxtaillever-fleet/src/security/seal.ts
+++ b/packages/foxtaillever-fleet/src/security/seal.ts
@@ -1,6 +1,7 @@
 /**
- * Puts a signature in front of bytes and takes it off again. The permission is
- * signed too, so what was sealed to join cannot be passed off as an order.
+ * Adds a signature in front of a payload, and verifies and removes it. The
+ * permission is signed too, so a message signed for joining the fleet is not
+ * accepted as an order.
  */
 import { Just, Nothing, type Maybe } from 'purify-ts'
 import { MAC_BYTES, Permission, type KeyRing } from './keyRing.js'
@@ -9,14 +10,14 @@
   return Buffer.concat([Buffer.from(`${permission}\0`), payload])
 }
 
-/** Length of the key's id, the id, the signature, the payload. */
+/** Returns the length of the key's id, the id, the signature and the payload. */
 export function seal (ring: KeyRing, permission: Permission, payload: Uint8Array): Buffer {
   const { keyId, mac } = ring.sign(permission, signedBytes(permission, payload))
   const id = Buffer.from(keyId)
   return Buffer.concat([Buffer.from([id.length]), id, mac, payload])
 }
 
-/** The payload, when a key of the ring with the permission signed it. */
+/** Returns the payload if a key of the ring with the permission signed it. */
 export function open (ring: KeyRing, permission: Permission, sealed: Uint8Array): Maybe<Buffer> {
   const bytes = Buffer.from(sealed.buffer, sealed.byteOffset, sealed.byteLength)
   const idEnd = 1 + (bytes[0] ?? 0)
