--- a/packages/foxtaillever-fleet/src/claims/claimManager.ts
+++ b/packages/foxtaillever-fleet/src/claims/claimManager.ts
@@ -82,12 +82,12 @@
     return new ClaimManager(log, fold, clock, options)
   }
 
-  /** Gap listener of the log reader: accounts for records that expired unread. */
+  /** Called by the log reader when records expired unread. */
   updateCoverage (page: LogPage): void {
     this.fold.updateCoverage(page)
   }
 
-  /** Record reader of the log reader. */
+  /** Handles each record from the log reader. */
   applyRecord (record: LogRecord): void {
     const decided = this.fold.applyRecord(record)
     const body = record.body as ClaimsRecord
--- a/packages/foxtaillever-fleet/src/fleet.ts
+++ b/packages/foxtaillever-fleet/src/fleet.ts
@@ -8,7 +8,7 @@
 import { Publisher, type Publication, type PublicationOrder } from './configuration/publisher.js'
 import { SnapshotWriter } from './configuration/snapshotWriter.js'
 import { createDump, type FleetDump } from './fleetDump.js'
-import { LogReader, type GapListener, type RecordReader } from './log/logReader.js'
+import { LogReader, type GapListener, type RecordHandler } from './log/logReader.js'
 import type { Datagrams } from './membership/datagrams.js'
 import type { Member } from './membership/member.js'
 import { MemberTable } from './membership/memberTable.js'
@@ -50,7 +50,7 @@
   readonly clock: Clock
   readonly random: Random
   /** Further readers of the log; they see each record after the configuration. */
-  readonly readers?: readonly RecordReader[]
+  readonly readers?: readonly RecordHandler[]
   /** Hears of records that left the log unread. */
   readonly onGap?: GapListener
 }
--- a/packages/foxtaillever-fleet/src/leases/leaseHolder.ts
+++ b/packages/foxtaillever-fleet/src/leases/leaseHolder.ts
@@ -52,7 +52,7 @@
     return this.checkLease().isRight()
   }
 
-  /** Record reader of the log reader; also updates the fold. */
+  /** Handles each record from the log reader; also updates the fold. */
   applyRecord (record: LogRecord): void {
     const lease = this.options.fold.applyRecord(record)
     const requestedAt = this.pendingAppends.get(record.id)
--- a/packages/foxtaillever-fleet/src/log/__tests__/logReader.test.ts
+++ b/packages/foxtaillever-fleet/src/log/__tests__/logReader.test.ts
@@ -3,35 +3,35 @@
 import { FakeLog } from '../../configuration/__fixtures__/fakeLog.js'
 import { LogReader } from '../logReader.js'
 
-async function fill (log: FakeLog, count: number): Promise<void> {
+async function appendRecords (log: FakeLog, count: number): Promise<void> {
   for (let index = 0; index < count; index += 1) {
     await log.append({ id: `${index}`, kind: RecordKind.Claims, writtenAt: 0, body: {} })
   }
 }
 
 describe('LogReader', () => {
-  it('hands on each record once and in order, over an outage', async t => {
+  it('passes on each record once and in order, over an outage', async t => {
     const clock = VirtualClock.create()
     const log = FakeLog.create(clock)
     const offsets: number[] = []
     const reader = LogReader.create(log, clock, [record => offsets.push(record.offset)])
-    await fill(log, 2)
+    await appendRecords(log, 2)
     reader.start()
     await clock.advanceBy(100)
     log.isDown = true
     await clock.advanceBy(5000)
     log.isDown = false
-    await fill(log, 2)
+    await appendRecords(log, 2)
     await clock.advanceBy(2500)
     t.deepEqual(offsets, [1, 2, 3, 4])
     t.true(reader.isCaughtUp())
   })
 
-  it('tells of records that expired unread, also when none is left', async t => {
+  it('reports records that expired unread, also when none is left', async t => {
     const clock = VirtualClock.create()
     const log = FakeLog.create(clock)
     const gaps: number[] = []
-    await fill(log, 3)
+    await appendRecords(log, 3)
     log.expireBelow(4)
     const reader = LogReader.create(log, clock, [], first => gaps.push(first))
     reader.start()
--- a/packages/foxtaillever-fleet/src/log/logReader.ts
+++ b/packages/foxtaillever-fleet/src/log/logReader.ts
@@ -1,35 +1,35 @@
 /**
- * Follows the platform's log and hands each record, in order and once, to its
- * readers. When the log is down it keeps trying; nothing moves backwards.
+ * Reads the platform's log and passes each record, in order and once, to its
+ * handlers. While the log is down it retries; its offset never moves backwards.
  */
 import type { Clock, Log, LogPage, LogRecord } from 'foxtaillever-core'
 
-/** How long one read may wait for news, milliseconds. */
+/** How long one read may wait for new records, milliseconds. */
 const READ_WAIT_MS = 2000
 
-/** Pause after a failed read, milliseconds; short against the 8 s promised to operators. */
-const PAUSE_AFTER_FAILURE_MS = 250
+/** Delay before a failed read is retried, milliseconds; much shorter than the 8 s promised to operators. */
+const RETRY_DELAY_MS = 250
 
-export type RecordReader = (record: LogRecord) => void
+export type RecordHandler = (record: LogRecord) => void
 
-/** Hears the first offset still kept, and the page that told, when records before it were never read. */
+/** Called when records expired before they were read, with the first offset that the log still has and the page that stated it. */
 export type GapListener = (first: number, page: LogPage) => void
 
 export class LogReader {
-  private next = 1
-  private stopped = false
-  private reached = 0
+  private nextOffset = 1
+  private isStopped = false
+  private endOffset = 0
   private lastRead = 0
 
-  private constructor (private readonly log: Log, private readonly clock: Clock, private readonly readers: readonly RecordReader[], private readonly onGap: GapListener) {}
+  private constructor (private readonly log: Log, private readonly clock: Clock, private readonly handlers: readonly RecordHandler[], private readonly onGap: GapListener) {}
 
-  static create (log: Log, clock: Clock, readers: readonly RecordReader[], onGap: GapListener = () => {}): LogReader {
-    return new LogReader(log, clock, readers, onGap)
+  static create (log: Log, clock: Clock, handlers: readonly RecordHandler[], onGap: GapListener = () => {}): LogReader {
+    return new LogReader(log, clock, handlers, onGap)
   }
 
-  /** Offset of the last record handed on. */
+  /** Offset of the last record passed to the handlers. */
   offset (): number {
-    return this.next - 1
+    return this.nextOffset - 1
   }
 
   /** When the log last answered, milliseconds of Unix time; 0 for never. */
@@ -37,48 +37,48 @@
     return this.lastRead
   }
 
-  /** Whether everything that stood in the log at the last answer has been handed on. */
+  /** Whether all records that the log had at its last answer have been passed to the handlers. */
   isCaughtUp (): boolean {
-    return this.lastRead > 0 && this.next >= this.reached
+    return this.lastRead > 0 && this.nextOffset >= this.endOffset
   }
 
   start (): void {
-    this.step()
+    this.readPage()
   }
 
   stop (): void {
-    this.stopped = true
+    this.isStopped = true
   }
 
-  private async step (): Promise<void> {
-    const page = await this.log.read(this.next, this.clock.now() + READ_WAIT_MS)
-    if (this.stopped) {
+  private async readPage (): Promise<void> {
+    const result = await this.log.read(this.nextOffset, this.clock.now() + READ_WAIT_MS)
+    if (this.isStopped) {
       return
     }
-    const nextRead = page.caseOf({
-      Left: () => this.clock.now() + PAUSE_AFTER_FAILURE_MS,
-      Right: read => {
-        this.take(read)
+    const nextRead = result.caseOf({
+      Left: () => this.clock.now() + RETRY_DELAY_MS,
+      Right: page => {
+        this.applyPage(page)
         return this.clock.now()
       }
     })
-    this.clock.at(nextRead, () => this.step())
+    this.clock.at(nextRead, () => this.readPage())
   }
 
-  private take (page: LogPage): void {
+  private applyPage (page: LogPage): void {
     this.lastRead = this.clock.now()
-    this.reached = page.next
-    // A quiet log can expire to nothing, so the gap is told by the page, not by a record.
-    if (page.first > this.next) {
-      this.next = page.first
+    this.endOffset = page.next
+    // All records of a quiet log may expire, so the gap is detected by the page's first offset, not by a record.
+    if (page.first > this.nextOffset) {
+      this.nextOffset = page.first
       this.onGap(page.first, page)
     }
     for (const record of page.records) {
-      if (record.offset < this.next) {
+      if (record.offset < this.nextOffset) {
         continue
       }
-      this.next = record.offset + 1
-      this.readers.forEach(reader => reader(record))
+      this.nextOffset = record.offset + 1
+      this.handlers.forEach(handler => handler(record))
     }
   }
 }
