--- a/packages/foxtaillever-router/src/adapters/__tests__/engineClient.test.ts
+++ b/packages/foxtaillever-router/src/adapters/__tests__/engineClient.test.ts
@@ -1,4 +1,4 @@
-/** What the router hears of tries at an engine whose connections and streams misbehave. */
+/** What the router receives from attempts at an engine whose connections and streams misbehave. */
 import type { ExecutionContext } from 'ava'
 import { EnginePath, PriorityClass, type Failure, type GenerateCall, type GenerateListener, type GenerateStream } from 'foxtaillever-core'
 import { chunk, ScriptedServer, type Answer } from 'foxtaillever-relay/__fixtures__/scriptedServer'
@@ -17,8 +17,8 @@
   requestId: 'r', account: 'a', model: 'm', weightsVersion: 'w', expectedIncarnation: '', priority: PriorityClass.Standard, deadline: 1, path: EnginePath.Completions, body: {}, continueAfter: 0, idempotencyKey: ''
 }
 
-class Rig {
-  readonly words: string[] = []
+class EngineRig {
+  readonly events: string[] = []
   readonly clock = VirtualClock.create()
   private readonly client: EngineClient
 
@@ -26,23 +26,23 @@
     this.client = EngineClient.create(server.address, this.clock)
   }
 
-  static async start (t: ExecutionContext, answer: Answer): Promise<Rig> {
-    const rig = new Rig(await ScriptedServer.start(answer))
+  static async start (t: ExecutionContext, answer: Answer): Promise<EngineRig> {
+    const rig = new EngineRig(await ScriptedServer.start(answer))
     t.teardown(() => {
-      rig.client.finish()
+      rig.client.closeGracefully()
       rig.server.stop()
     })
     return rig
   }
 
-  /** Resolves with the last word. */
+  /** Resolves with the outcome. */
   async generate (maySend = true, onOpen: (stream: GenerateStream) => void = () => {}): Promise<string> {
     return await new Promise(resolve => {
-      const tell = (word: string): void => { this.words.push(word) }
+      const record = (event: string): void => { this.events.push(event) }
       const listener: GenerateListener = {
         sent: () => maySend,
-        started: () => tell('started'),
-        token: sequence => tell(`token ${sequence}`),
+        started: () => record('started'),
+        token: sequence => record(`token ${sequence}`),
         finished: () => resolve('finished'),
         failed: ({ code, verdict }: Failure) => resolve(`${code} ${verdict}`)
       }
@@ -52,18 +52,18 @@
 }
 
 describe('an engine', () => {
-  it('is heard event by event, also with lines that end with a carriage return', async t => {
+  it('is read event by event, also with lines that end with a carriage return', async t => {
     for (const answer of [whole, ({ socket }: Parameters<Answer>[0]) => socket.write(HEAD + chunk(`: hello\r\n\r\n${(STARTED + TOKEN + FINISHED).replaceAll('\n', '\r\n')}`) + END)]) {
-      const rig = await Rig.start(t, answer)
+      const rig = await EngineRig.start(t, answer)
       t.is(await rig.generate(), 'finished')
-      t.deepEqual(rig.words, ['started', 'token 1'])
+      t.deepEqual(rig.events, ['started', 'token 1'])
     }
   })
 
-  // The claim of a request ran out while its connection was made. A byte that
-  // left all the same could run it twice.
-  it('gets no byte of a request that is held back, on a new connection or a kept one', async t => {
-    const rig = await Rig.start(t, whole)
+  // The claim of a request expires while its connection is established. If a byte
+  // were sent, the request could run twice.
+  it('gets no byte of a request that may not be sent, on a new or a reused connection', async t => {
+    const rig = await EngineRig.start(t, whole)
     t.is(await rig.generate(false), 'deadline_passed not_run')
     t.is(await rig.generate(), 'finished')
     t.is(await rig.generate(false), 'deadline_passed not_run')
@@ -71,18 +71,18 @@
     t.is(rig.server.arrivals.length, 2)
   })
 
-  it('proves by its own word alone that a request did not run', async t => {
-    for (const [header, told] of [['x-verdict: not_run', 'stale not_run'], ['x-other: 1', 'stale may_have_run']] as const) {
+  it('proves only by its own verdict that a request did not run', async t => {
+    for (const [header, expected] of [['x-verdict: not_run', 'stale not_run'], ['x-other: 1', 'stale may_have_run']] as const) {
       const body = '{"error":{"code":"stale","message":"other weights"}}'
-      const rig = await Rig.start(t, ({ socket }) => socket.write(`HTTP/1.1 409 Other\r\n${header}\r\ncontent-length: ${body.length}\r\n\r\n${body}`))
-      t.is(await rig.generate(), told)
+      const rig = await EngineRig.start(t, ({ socket }) => socket.write(`HTTP/1.1 409 Other\r\n${header}\r\ncontent-length: ${body.length}\r\n\r\n${body}`))
+      t.is(await rig.generate(), expected)
     }
   })
 
-  // A faulty engine writes an event that never ends. Kept until it does, it
-  // would fill the memory of the instance, and all its callers would be cut.
-  it('is given up in the middle of an event without end', async t => {
-    const rig = await Rig.start(t, ({ socket }) => {
+  // A faulty engine writes an event that never ends. If it were buffered, it would
+  // fill the memory of the instance, which would fail with all its callers.
+  it('is abandoned in the middle of an endless event', async t => {
+    const rig = await EngineRig.start(t, ({ socket }) => {
       socket.write(HEAD + chunk(STARTED))
       const more = (): void => { socket.write(chunk('x'.repeat(65_536)), error => { error || more() }) }
       more()
@@ -91,23 +91,23 @@
     await rig.server.closed(0)
   })
 
-  // An event is garbled. Thrown out of the connection's reader, the error would
-  // end no request and be caught by nothing.
+  // An event cannot be parsed. If the connection's reader threw the error, nothing
+  // would catch it, and the request would never end.
   it('fails the request with an event that cannot be read', async t => {
-    const rig = await Rig.start(t, ({ socket }) => socket.write(HEAD + chunk('event: started\ndata: {\n\n')))
+    const rig = await EngineRig.start(t, ({ socket }) => socket.write(HEAD + chunk('event: started\ndata: {\n\n')))
     t.is(await rig.generate(), 'stream_broken may_have_run')
   })
 
-  it('is lost when it is silent, but not when its caller reads slowly', async t => {
-    const rig = await Rig.start(t, ({ socket }) => socket.write(HEAD + chunk(STARTED)))
+  it('counts as lost when it is silent, but not when its caller reads slowly', async t => {
+    const rig = await EngineRig.start(t, ({ socket }) => socket.write(HEAD + chunk(STARTED)))
     let stream: GenerateStream | undefined
-    const told = rig.generate(true, opened => { stream = opened })
+    const outcome = rig.generate(true, opened => { stream = opened })
     await rig.server.arrived(1)
     stream?.pause()
     await rig.clock.advanceBy(40_000)
     t.false(rig.server.sockets[0]?.destroyed)
     stream?.resume()
     await rig.clock.advanceBy(40_000)
-    t.is(await told, 'connection_lost may_have_run')
+    t.is(await outcome, 'connection_lost may_have_run')
   })
 })
--- a/packages/foxtaillever-router/src/adapters/engineClient.ts
+++ b/packages/foxtaillever-router/src/adapters/engineClient.ts
@@ -1,4 +1,4 @@
-/** A model engine over HTTP and server-sent events. */
+/** Client of a model engine over HTTP and server-sent events. */
 import {
   EngineHeader, EnginePath, Failure, FailureCode, PriorityClass,
   type Clock, type Engine, type GenerateCall, type GenerateListener, type GenerateStream, type LoadReport, type ResumeCall
@@ -8,11 +8,11 @@
 import { Either } from 'purify-ts'
 import { StreamHandler } from './streamHandler.js'
 
-/** Connections to one engine at most; each stream holds one, and the next stream gets it. */
-const CONNECTIONS = 256
+/** Maximum connections to one engine; each stream uses one, which the next stream reuses. */
+const MAX_CONNECTIONS = 256
 
-/** An engine answers calls about itself within this, milliseconds. */
-const ANSWER_MS = 1000
+/** Timeout of load queries and cancels, milliseconds. */
+const ANSWER_TIMEOUT_MS = 1000
 
 const noBody = Buffer.alloc(0)
 
@@ -27,7 +27,7 @@
   private constructor (private readonly address: string, private readonly clock: Clock, private readonly connections: ServerConnections) {}
 
   static create (address: string, clock: Clock): EngineClient {
-    return new EngineClient(address, clock, ServerConnections.create({ address, part: { total: CONNECTIONS, idle: CONNECTIONS } }))
+    return new EngineClient(address, clock, ServerConnections.create({ address, part: { total: MAX_CONNECTIONS, idle: MAX_CONNECTIONS } }))
   }
 
   generate (call: GenerateCall, listener: GenerateListener): GenerateStream {
@@ -41,29 +41,29 @@
   }
 
   cancel (id: string): void {
-    // An engine that cannot be told is gone, and its work with it.
-    this.ask(this.createCall('POST', `${EnginePath.Cancel}/${encodeURIComponent(id)}`))
+    // If the engine cannot be reached, it is gone, and its work with it.
+    this.callEngine(this.createCall('POST', `${EnginePath.Cancel}/${encodeURIComponent(id)}`))
   }
 
   async load (): Promise<Either<Failure, LoadReport>> {
-    const answer = await this.ask(this.createCall('GET', EnginePath.Load))
+    const answer = await this.callEngine(this.createCall('GET', EnginePath.Load))
     return answer
       .chain(({ body }) => Either.encase(() => JSON.parse(body.toString('utf8')) as LoadReport))
-      .mapLeft(() => Failure.notRun(FailureCode.ConnectionLost, 'The engine does not report its load.'))
+      .mapLeft(() => Failure.notRun(FailureCode.ConnectionLost, 'The engine did not report its load.'))
   }
 
-  /** Nothing is kept any more; streams on their way end in peace. */
-  finish (): void {
+  /** Keeps no idle connections from now on; open streams are completed. */
+  closeGracefully (): void {
     this.connections.close()
   }
 
   private open (requestId: string, call: ServerCall, listener: GenerateListener): GenerateStream {
     const { clock, connections } = this
-    return StreamHandler.create({ clock, connections, requestId, call, listener, tellEngine: () => this.cancel(requestId) })
+    return StreamHandler.create({ clock, connections, requestId, call, listener, cancelAtEngine: () => this.cancel(requestId) })
   }
 
-  private async ask (call: ServerCall): Promise<Either<Failure, WholeAnswer>> {
-    return await callServer(this.connections, call, this.clock, this.clock.now() + ANSWER_MS)
+  private async callEngine (call: ServerCall): Promise<Either<Failure, WholeAnswer>> {
+    return await callServer(this.connections, call, this.clock, this.clock.now() + ANSWER_TIMEOUT_MS)
   }
 
   private createCall (method: string, path: string, body = noBody, headers: Readonly<Record<string, string>> = {}): ServerCall {
--- a/packages/foxtaillever-router/src/adapters/engineWire.ts
+++ b/packages/foxtaillever-router/src/adapters/engineWire.ts
@@ -1,6 +1,6 @@
 /**
- * How answers of engines are read: none needs a stamp, since a stream counts as
- * whole only with its last event; a refusal is read to its end for its reason.
+ * How answers of engines are read. They need no stamp, since a stream is complete
+ * only with its last event. A refusal is read to its end for its reason.
  */
 import type { AnswerWire } from 'foxtaillever-relay/model/wire'
 
--- a/packages/foxtaillever-router/src/adapters/instanceListClient.ts
+++ b/packages/foxtaillever-router/src/adapters/instanceListClient.ts
@@ -1,15 +1,15 @@
-/** The platform's list of instances over HTTP. */
+/** Client of the platform's list of instances over HTTP. */
 import { Failure, FailureCode, type InstanceList, type ListedInstance } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
 import { Pool } from 'undici'
 
-const ANSWER_MS = 2000
+const ANSWER_TIMEOUT_MS = 2000
 
 export class InstanceListClient implements InstanceList {
   private constructor (private readonly pool: Pool) {}
 
   static create (address: string): InstanceListClient {
-    return new InstanceListClient(new Pool(`http://${address}`, { connections: 1, headersTimeout: ANSWER_MS, bodyTimeout: ANSWER_MS }))
+    return new InstanceListClient(new Pool(`http://${address}`, { connections: 1, headersTimeout: ANSWER_TIMEOUT_MS, bodyTimeout: ANSWER_TIMEOUT_MS }))
   }
 
   async list (): Promise<Either<Failure, readonly ListedInstance[]>> {
--- a/packages/foxtaillever-router/src/adapters/isBeforeFirstByte.ts
+++ b/packages/foxtaillever-router/src/adapters/isBeforeFirstByte.ts
@@ -1,9 +1,9 @@
 /**
- * Errors of a connection that was never made: no byte of the request can have
- * left. Any other error may have come after the backend server read it.
+ * Errors of a connection that was never established, so that no byte of the
+ * request was sent. After any other error the server may have read the request.
  */
-const codes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT', 'EADDRNOTAVAIL'])
+const connectErrorCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT', 'EADDRNOTAVAIL'])
 
 export function isBeforeFirstByte (error: unknown): boolean {
-  return codes.has((error as { code?: string }).code ?? '')
+  return connectErrorCodes.has((error as { code?: string }).code ?? '')
 }
--- a/packages/foxtaillever-router/src/adapters/orderClient.ts
+++ b/packages/foxtaillever-router/src/adapters/orderClient.ts
@@ -1,14 +1,14 @@
-/** Orders to backend servers and their observed state, over HTTP. */
+/** Sends orders to backend servers and reads their state, over HTTP. */
 import { EngineHeader, EnginePath, Failure, FailureCode, Verdict, type EngineOrder, type EngineState } from 'foxtaillever-core'
 import type { OrderPort } from 'foxtaillever-fleet'
 import { Left, Right, type Either } from 'purify-ts'
 import { request, type Dispatcher } from 'undici'
 import { isBeforeFirstByte } from './isBeforeFirstByte.js'
 
-/** Names this system, whichever instance, to servers that check who gives an order. */
+/** Identifies this system, not the instance, to servers that check the sender of an order. */
 const CALLER = 'foxtaillever'
 
-const ANSWER_MS = 2000
+const ANSWER_TIMEOUT_MS = 2000
 
 const STATUS_OK = 200
 
@@ -24,7 +24,7 @@
     return answer.map(body => body as EngineState)
   }
 
-  /** Connects first, so that between the lease's check and the byte there is no wait for a connection. */
+  /** Connects first, so that no wait for a connection lies between the check of the lease and the first byte. */
   async give (server: string, order: EngineOrder, fence: () => Either<Failure, number>): Promise<Either<Failure, void>> {
     const reachable = await this.call(server, EnginePath.State, { method: 'GET' })
     if (reachable.isLeft()) {
@@ -49,7 +49,7 @@
       return Left(Failure.notRun(FailureCode.NoBackendServer, `There is no backend server ${server}.`))
     }
     try {
-      const answer = await request(`http://${address}${path}`, { ...options, headersTimeout: ANSWER_MS, bodyTimeout: ANSWER_MS })
+      const answer = await request(`http://${address}${path}`, { ...options, headersTimeout: ANSWER_TIMEOUT_MS, bodyTimeout: ANSWER_TIMEOUT_MS })
       const text = await answer.body.text()
       if (answer.statusCode === STATUS_OK) {
         return Right(JSON.parse(text) as unknown)
--- a/packages/foxtaillever-router/src/adapters/streamHandler.ts
+++ b/packages/foxtaillever-router/src/adapters/streamHandler.ts
@@ -1,7 +1,7 @@
 /**
- * Turns one try at an engine into words for the listener. Its connection, the
- * checks of its answer and what each way to fail proves are those of the relay
- * core; here its events are read.
+ * Reads the event stream of one attempt at an engine and passes its events to
+ * the listener. The connection, the checks of the answer and the verdict of each
+ * kind of failure come from the relay core.
  */
 import {
   EngineHeader, Failure, FailureCode, StreamEvent, Verdict,
@@ -15,14 +15,14 @@
 import { Either } from 'purify-ts'
 import { engineWire } from './engineWire.js'
 
-/** A backend server that takes longer to accept a connection is passed over, milliseconds. */
+/** Timeout for connecting to a backend server, milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000
 
-/** Silence on a stream after which it counts as lost, milliseconds. */
-const SILENCE_MS = 30_000
+/** A stream without data for this long counts as lost, milliseconds. */
+const SILENCE_TIMEOUT_MS = 30_000
 
-/** More of an error body than this is not read, bytes. */
-const ERROR_BODY_BYTES = 16_384
+/** Maximum size of an error body that is read, bytes. */
+const MAX_ERROR_BODY_BYTES = 16_384
 
 const STATUS_OK = 200
 
@@ -36,21 +36,21 @@
 export interface StreamOptions extends Pick<AttemptOptions, 'connections' | 'requestId' | 'call'> {
   readonly clock: Clock
   readonly listener: GenerateListener
-  /** Tells the engine to stop. */
-  readonly tellEngine: () => void
+  /** Cancels the request at the engine. */
+  readonly cancelAtEngine: () => void
 }
 
-/** A header's value out of names and values in turn. */
+/** Finds a header's value in alternating names and values. */
 function headerOf (headers: readonly string[], name: string): string | undefined {
-  const index = headers.findIndex((text, place) => place % 2 === 0 && text.toLowerCase() === name)
+  const index = headers.findIndex((text, position) => position % 2 === 0 && text.toLowerCase() === name)
   return index === -1 ? undefined : headers[index + 1]
 }
 
 export class StreamHandler implements GenerateStream, AttemptListener {
   private readonly attempt: Attempt
-  private readonly watch: SilenceWatch
+  private readonly silenceWatch: SilenceWatch
   private readonly splitter = EventSplitter.create()
-  private over = false
+  private isOver = false
   private isPaused = false
   private head: AnswerHead | undefined
   private readonly errorBody: Buffer[] = []
@@ -58,8 +58,8 @@
 
   private constructor (private readonly options: StreamOptions) {
     const { clock, connections, requestId, call } = options
-    const until = (heardAt: number): number => heardAt + SILENCE_MS
-    this.watch = SilenceWatch.start({ clock, firstUntil: until(clock.now()), nextUntil: until, onSilent: () => this.onSilent() })
+    const until = (lastActivityAt: number): number => lastActivityAt + SILENCE_TIMEOUT_MS
+    this.silenceWatch = SilenceWatch.start({ clock, firstUntil: until(clock.now()), nextUntil: until, onSilent: () => this.onSilent() })
     this.attempt = Attempt.begin({ clock, connections, requestId, call, wire: engineWire, connectTimeoutMs: CONNECT_TIMEOUT_MS, maxIdleMs: Infinity, listener: this })
   }
 
@@ -68,18 +68,18 @@
   }
 
   cancel (): void {
-    if (!this.over && this.attempt.mayHaveArrived) {
-      this.options.tellEngine()
+    if (!this.isOver && this.attempt.mayHaveArrived) {
+      this.options.cancelAtEngine()
     }
     this.detach()
   }
 
   detach (): void {
-    if (this.over) {
+    if (this.isOver) {
       return
     }
-    this.over = true
-    this.watch.stop()
+    this.isOver = true
+    this.silenceWatch.stop()
     this.attempt.cancel()
   }
 
@@ -90,7 +90,7 @@
 
   resume (): void {
     this.isPaused = false
-    this.watch.recordActivity()
+    this.silenceWatch.recordActivity()
     this.attempt.resume()
   }
 
@@ -100,11 +100,11 @@
 
   onHead (head: AnswerHead): void {
     this.head = head
-    this.watch.recordActivity()
+    this.silenceWatch.recordActivity()
   }
 
   onData (bytes: Buffer): void {
-    this.watch.recordActivity()
+    this.silenceWatch.recordActivity()
     if (this.head?.status !== STATUS_OK) {
       this.keepError(bytes)
       return
@@ -118,7 +118,7 @@
   }
 
   onEnd (): void {
-    this.watch.stop()
+    this.silenceWatch.stop()
     if (this.head?.status === STATUS_OK) {
       this.fail(Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The engine ended the stream without its last event.'))
     } else {
@@ -127,12 +127,12 @@
   }
 
   onFailed ({ kind, detail }: AttemptFailure): void {
-    this.watch.stop()
+    this.silenceWatch.stop()
     const { code, verdict } = meaningOf[kind]
-    this.fail(Failure.create(code, verdict, `The try at the backend server failed: ${detail}`))
+    this.fail(Failure.create(code, verdict, `The attempt at the backend server failed: ${detail}`))
   }
 
-  /** A caller that reads slowly holds the engine up; that is no silence of the engine. */
+  /** The stream is also silent while it is paused for a slow caller, which is no fault of the engine. */
   private onSilent (): void {
     if (!this.isPaused) {
       this.attempt.timeOut()
@@ -141,7 +141,7 @@
 
   private onEvent (bytes: Buffer): void {
     const event = readFields(bytes)
-    if (this.over || !event) {
+    if (this.isOver || !event) {
       return
     }
     if (event.type === '') {
@@ -152,39 +152,39 @@
   }
 
   onStarted (data: string): void {
-    this.read<StreamStart>(data, start => this.options.listener.started(start))
+    this.parseEvent<StreamStart>(data, start => this.options.listener.started(start))
   }
 
   onFinished (data: string): void {
-    this.read<StreamEnd>(data, end => {
-      this.over = true
+    this.parseEvent<StreamEnd>(data, end => {
+      this.isOver = true
       this.options.listener.finished(end)
     })
   }
 
-  private read<Content> (data: string, take: (content: Content) => void): void {
+  private parseEvent<Content> (data: string, handleContent: (content: Content) => void): void {
     Either.encase(() => JSON.parse(data) as Content).caseOf({
-      Left: () => this.attempt.reject('an event that is no JSON'),
-      Right: take
+      Left: () => this.attempt.reject('an event that is not JSON'),
+      Right: handleContent
     })
   }
 
   private keepError (bytes: Buffer): void {
-    if (this.errorBytes < ERROR_BODY_BYTES) {
+    if (this.errorBytes < MAX_ERROR_BODY_BYTES) {
       this.errorBody.push(bytes)
       this.errorBytes += bytes.length
     }
   }
 
   private fail (failure: Failure): void {
-    if (this.over) {
+    if (this.isOver) {
       return
     }
-    this.over = true
+    this.isOver = true
     this.options.listener.failed(failure)
   }
 
-  /** Only the engine's own word proves that a refused request did not run. */
+  /** Only the engine's own verdict proves that a refused request did not run. */
   private readRefusal (): Failure {
     const { status = 0, headers = [] } = this.head ?? {}
     const verdict = headerOf(headers, EngineHeader.Verdict) === Verdict.NotRun ? Verdict.NotRun : Verdict.MayHaveRun
--- a/packages/foxtaillever-router/src/instance/engines.ts
+++ b/packages/foxtaillever-router/src/instance/engines.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to the engines, one client an address. Those of backend servers
- * that left the configuration are closed once their streams are over.
+ * Clients of the engines, one per address. Clients of backend servers that were
+ * removed from the configuration are closed once their streams have ended.
  */
 import type { BackendServer, Clock, Configuration } from 'foxtaillever-core'
 import { EngineClient } from '../adapters/engineClient.js'
@@ -29,12 +29,12 @@
     for (const [address, client] of this.clients) {
       if (!addresses.has(address)) {
         this.clients.delete(address)
-        client.finish()
+        client.closeGracefully()
       }
     }
   }
 
   close (): void {
-    this.clients.forEach(client => client.finish())
+    this.clients.forEach(client => client.closeGracefully())
   }
 }
