--- a/packages/foxtaillever-router/src/commands/serve.ts
+++ b/packages/foxtaillever-router/src/commands/serve.ts
@@ -4,11 +4,11 @@
 import { createEntryInstanceOptions } from '../instance/createEntryInstanceOptions.js'
 import { EntryInstance } from '../instance/entryInstance.js'
 
-/** What the process ends with. */
+/** Exit codes of the process. */
 export enum ExitCode {
-  /** Told to stop, and every answer in flight was given its last word. */
+  /** Stopped as requested; every request in flight got its outcome. */
   Done = 0,
-  /** A port is taken or an address is not this machine's. */
+  /** A port is in use or an address does not belong to this machine. */
   CannotListen = 1,
   /** The command line is wrong. */
   Usage = 2,
@@ -42,47 +42,47 @@
     const loaded = await loadRouterSettings(this.settings, this.context.env)
     return await loaded.caseOf({
       Left: async complaints => {
-        this.complain(complaints)
+        this.printComplaints(complaints)
         return ExitCode.InvalidSettings
       },
-      Right: async settings => this.check ? this.approve() : await this.serve(settings)
+      Right: async settings => this.check ? this.reportValid() : await this.serve(settings)
     })
   }
 
-  private complain (complaints: readonly Complaint[]): void {
+  private printComplaints (complaints: readonly Complaint[]): void {
     complaints.forEach(complaint => this.context.stderr.write(`${formatComplaint(complaint)}\n`))
   }
 
-  private approve (): ExitCode {
+  private reportValid (): ExitCode {
     this.context.stdout.write(`${this.settings} is in order.\n`)
     return ExitCode.Done
   }
 
   private async serve (settings: RouterSettings): Promise<ExitCode> {
     const instance = EntryInstance.create(createEntryInstanceOptions(settings, SystemClock.create()))
-    // Listened to before callers can come in, so that no signal ends the process with an answer in flight.
-    const told = new Promise<void>(resolve => {
+    // Registered before callers can connect, so that no signal ends the process with an answer in flight.
+    const stopSignal = new Promise<void>(resolve => {
       process.once('SIGTERM', resolve)
       process.once('SIGINT', resolve)
     })
     try {
       await instance.start()
     } catch (error) {
-      this.context.stderr.write(`Cannot listen: ${(error as Error).message}. Mend the addresses in ${this.settings} or free the port.\n`)
-      // What did start, such as the socket for other instances, would keep the process alive.
+      this.context.stderr.write(`Cannot listen: ${(error as Error).message}. Correct the addresses in ${this.settings} or free the port.\n`)
+      // Parts that did start, such as the socket for other instances, would keep the process alive.
       process.exit(ExitCode.CannotListen)
     }
     process.on('SIGHUP', () => this.reload(instance))
-    await told
+    await stopSignal
     await instance.stop()
     return ExitCode.Done
   }
 
-  /** Settings that are wrong now change nothing; the instance goes on with those it has. */
+  /** Invalid settings change nothing; the instance keeps those that it has. */
   private async reload (instance: EntryInstance): Promise<void> {
     const loaded = await loadRouterSettings(this.settings, this.context.env)
     loaded
-      .ifLeft(complaints => this.complain(complaints))
+      .ifLeft(complaints => this.printComplaints(complaints))
       .ifRight(settings => instance.replaceKeys(settings.memberKeys.map(({ id, secret }) => ({ id, secret: secret.reveal() }))))
   }
 }
--- a/packages/foxtaillever-router/src/control/__tests__/instanceControl.test.ts
+++ b/packages/foxtaillever-router/src/control/__tests__/instanceControl.test.ts
@@ -32,10 +32,10 @@
 }
 
 describe('control of an instance', () => {
-  // A tool that is not our command line publishes a service whose backend
-  // server does not exist. Written to the log, every instance would take it in
-  // and answer that service's callers with failures.
-  it('refuses a contradiction before it is written', async t => {
+  // A tool other than the project's command line publishes a service whose backend
+  // server does not exist. If it were written to the log, every instance would
+  // apply it and answer that service's callers with failures.
+  it('refuses an invalid change before it is written', async t => {
     const { control, published } = createBench()
     const service: Change = { kind: ChangeKind.PutService, service: { name: 'orders', path: '/orders', servers: ['gone'], calls: [{ method: 'POST', path: '/', idempotent: false }], concurrentRequests: 1, timeoutMs: 1000 } }
     const failure = (await control.publish({ base: 0, author: 'ana', changes: [service], deadline: 1 })).swap().unsafeCoerce()
@@ -49,7 +49,7 @@
     t.deepEqual(control.members().map(({ name, state }) => `${name} ${state}`), ['entry-1 live', 'entry-2 suspect'])
   })
 
-  it('knows no figures of an account that does not exist', async t => {
+  it('refuses to show figures of an account that does not exist', async t => {
     const { control } = createBench()
     t.true((await control.figures('nobody')).isLeft())
     t.true((await control.figures()).isRight())
@@ -64,7 +64,7 @@
       t.false(text.includes(digest))
     })
 
-    it('cuts large tables and says by how much', t => {
+    it('truncates large tables and counts the omitted entries', t => {
       const parts = { table: Object.fromEntries(Array.from({ length: 1500 }, (_, index) => [`row${index}`, index])), lists: { long: Array.from({ length: 1001 }, () => 0) } }
       const { leftOut, parts: kept } = createDump({ name: '', failureDomain: '', takenAt: 0, configuration: { ...emptyConfiguration, presetInForce: PresetName.Peaks }, parts })
       t.deepEqual(leftOut, { table: 500, 'lists.long': 1 })
--- a/packages/foxtaillever-router/src/control/controlServer.ts
+++ b/packages/foxtaillever-router/src/control/controlServer.ts
@@ -1,8 +1,7 @@
 /**
  * The control port of one entry instance: procedures for operators, procedures
- * for other instances, and the metrics. Callers have no way to this port. The
- * port is taken first, since others are told its number before anything can be
- * answered on it.
+ * for other instances, and the metrics. Callers have no access to this port. It
+ * is bound before the services exist, since its number is announced first.
  */
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -22,21 +21,21 @@
   readonly peers: PeerRouter
 }
 
-/** Ten thousand changes of a few hundred bytes fit. */
+/** Enough for ten thousand changes of a few hundred bytes each. */
 const BODY_LIMIT_BYTES = 8 * 1024 * 1024
 
-/** Path below which a metrics store reads. */
+/** Path from which a metrics store reads. */
 export const METRICS_PATH = '/metrics'
 
-/** Names of procedures stand in the path; none is longer. */
-const PARAMETER_CHARACTERS = 500
+/** Maximum length of a procedure name, which is part of the path. */
+const MAX_PARAMETER_CHARACTERS = 500
 
 export class ControlServer {
   private http: FastifyInstance | undefined
 
   private constructor (private readonly server: Server) {}
 
-  /** Takes the port; port 0 lets the system choose. */
+  /** Binds the port; port 0 lets the system choose. */
   static async listen (host: string, port: number): Promise<ControlServer> {
     const server = createServer()
     await new Promise<void>((resolve, reject) => {
@@ -49,13 +48,13 @@
     return new ControlServer(server)
   }
 
-  /** IP number and port. */
+  /** IP address and port. */
   address (): string {
     const { address, family, port } = this.server.address() as AddressInfo
     return family === 'IPv6' ? `[${address}]:${port}` : `${address}:${port}`
   }
 
-  /** Begins to answer. */
+  /** Starts to answer. */
   async serve (services: ControlServices): Promise<void> {
     this.http = createHttp(this.server, services)
     await this.http.ready()
@@ -71,7 +70,7 @@
 function createHttp (server: Server, { control, operators, metrics, clock, peers }: ControlServices): FastifyInstance {
   const http = fastify({
     bodyLimit: BODY_LIMIT_BYTES,
-    routerOptions: { maxParamLength: PARAMETER_CHARACTERS },
+    routerOptions: { maxParamLength: MAX_PARAMETER_CHARACTERS },
     serverFactory: handler => server.on('request', handler)
   })
   http.get(METRICS_PATH, async (_, reply) => {
--- a/packages/foxtaillever-router/src/control/createDump.ts
+++ b/packages/foxtaillever-router/src/control/createDump.ts
@@ -1,17 +1,17 @@
 /**
- * Makes the dump of a process: of one instant, since nothing here waits;
- * bounded, since each table is cut; without secrets, since digests of keys are
- * shortened to what tells two apart.
+ * Creates the dump of a process. It shows a single moment, since nothing here is
+ * asynchronous; it is bounded, since each table is truncated; and it has no
+ * secrets, since key digests are shortened.
  */
 import type { Configuration } from 'foxtaillever-core'
 import type { Dump } from 'foxtaillever-control'
 import * as R from 'fp-ts/lib/Record.js'
 import { pipe } from 'fp-ts/lib/function.js'
 
-/** Entries of one table that a dump shows; above the two-year size of servers, below that of accounts. */
-export const DUMPED_ENTRIES = 1000
+/** Maximum entries of one table in a dump; above the number of servers expected in two years, below that of accounts. */
+export const MAX_DUMPED_ENTRIES = 1000
 
-/** Digits of a key's digest that a dump shows: enough to tell two keys apart, too few to search for the key. */
+/** Digits of a key's digest in a dump: enough to distinguish two keys, too few to search for the key. */
 const DIGEST_DIGITS = 8
 
 export interface DumpOptions extends Pick<Dump, 'name' | 'failureDomain' | 'takenAt' | 'parts'> {
@@ -23,22 +23,22 @@
   return { ...rest, accounts: hidden }
 }
 
-/** Cuts tables and lists, at any depth, and counts what was left out under their path. */
-function cut (value: unknown, path: string, leftOut: Record<string, number>): unknown {
+/** Truncates tables and lists at any depth, and counts the omitted entries under their path. */
+function truncateTables (value: unknown, path: string, leftOut: Record<string, number>): unknown {
   if (typeof value !== 'object' || value === null) {
     return value
   }
   const entries = Object.entries(value)
-  if (entries.length > DUMPED_ENTRIES) {
-    leftOut[path] = entries.length - DUMPED_ENTRIES
+  if (entries.length > MAX_DUMPED_ENTRIES) {
+    leftOut[path] = entries.length - MAX_DUMPED_ENTRIES
   }
-  const kept = entries.slice(0, DUMPED_ENTRIES).map(([key, part]) => [key, cut(part, `${path}.${key}`, leftOut)] as const)
+  const kept = entries.slice(0, MAX_DUMPED_ENTRIES).map(([key, part]) => [key, truncateTables(part, `${path}.${key}`, leftOut)] as const)
   return Array.isArray(value) ? kept.map(([, part]) => part) : Object.fromEntries(kept)
 }
 
 export function createDump ({ name, failureDomain, takenAt, configuration, parts }: DumpOptions): Dump {
   const leftOut: Record<string, number> = {}
   const whole = { configuration: hideKeys(configuration), ...parts }
-  const kept = Object.entries(whole).map(([part, state]) => [part, cut(state, part, leftOut)] as const)
+  const kept = Object.entries(whole).map(([part, state]) => [part, truncateTables(state, part, leftOut)] as const)
   return { name, failureDomain, takenAt, parts: Object.fromEntries(kept), leftOut }
 }
--- a/packages/foxtaillever-router/src/instance/entryInstance.ts
+++ b/packages/foxtaillever-router/src/instance/entryInstance.ts
@@ -159,7 +159,7 @@
       accounts: this.accounts,
       tokens: StreamTokens.create(this.keys),
       configuration: () => this.fleet.store.isKnown() ? this.configuration() : undefined,
-      turnedAway: (requestId, failure) => this.telemetry.turnedAway(requestId, failure),
+      turnedAway: (requestId, failure) => this.telemetry.rejected(requestId, failure),
       accepting: () => this.accepting,
       limits: this.options.limits
     })
--- a/packages/foxtaillever-router/src/telemetry/__tests__/telemetry.test.ts
+++ b/packages/foxtaillever-router/src/telemetry/__tests__/telemetry.test.ts
@@ -42,7 +42,7 @@
 
 describe('telemetry', () => {
   describe('figures', () => {
-    it('count what became of requests, by client account', async t => {
+    it('count the outcomes of requests by client account', async t => {
       const { clock, telemetry } = createTelemetry()
       await clock.advanceBy(300)
       serve(telemetry, createJob('r1'), 0)
@@ -59,9 +59,9 @@
       t.is((await telemetry.figures()).served, 2)
     })
 
-    // The engine evicted the catalogue between two requests that share it: its
-    // 80 tokens are computed a second time. The first time was no waste.
-    it('tell wasted recomputation from a first computation', async t => {
+    // The engine evicts a prefix of 80 tokens between two requests that share it and
+    // computes it again. Only the second computation is wasted.
+    it('distinguish wasted recomputation from a first computation', async t => {
       const { telemetry } = createTelemetry()
       serve(telemetry, createJob('r1'), 0)
       t.is((await telemetry.figures()).recomputedTokens, 0)
@@ -71,7 +71,7 @@
       t.is((await telemetry.figures()).recomputedTokens, 64)
     })
 
-    it('show who waits and runs now', async t => {
+    it('show the requests that wait and run now', async t => {
       const { telemetry } = createTelemetry()
       const job = createJob('r1')
       telemetry.arrived(job)
@@ -85,7 +85,7 @@
   })
 
   describe('explanations', () => {
-    it('tell each decision with its candidates, by our id or by the caller\'s', t => {
+    it('show each decision with its candidates, by the router\'s id or the caller\'s', t => {
       const { telemetry } = createTelemetry()
       serve(telemetry, createJob('order-7.1a2b3c4d'), 80)
       const explanation = telemetry.explain('order-7')
@@ -95,16 +95,16 @@
       t.is(telemetry.explain('order-8'), undefined)
     })
 
-    // A caller sends a request that fails over and over, among thousands of
-    // others. Memory must stay bounded, and the latest must stay explainable.
-    it('are kept for the latest requests only, and bounded for each', t => {
+    // A request fails repeatedly among thousands of others. Memory use must stay
+    // limited, and the latest requests must stay explainable.
+    it('are kept for the latest requests only, with a limited size for each', t => {
       const record = DecisionRecord.create('entry-1', 3)
       const candidates = Array.from({ length: 700 }, (_, index) => ({ server: `w${index}`, cost: index }))
       for (let index = 0; index < 10; index++) {
-        record.open(createJob(`r${index}`))
+        record.addRequest(createJob(`r${index}`))
       }
       for (let index = 0; index < 100; index++) {
-        record.add('r9', { kind: DecisionKind.Retried, at: 0, rule: '', server: '', candidates, message: '' })
+        record.addDecision('r9', { kind: DecisionKind.Retried, at: 0, rule: '', server: '', candidates, message: '' })
       }
       t.is(record.size(), 3)
       t.is(record.find('r6'), undefined)
@@ -124,7 +124,7 @@
       t.deepEqual(Object.keys(metricTable).filter(name => !/_(total|seconds|requests|revision|offset|instances)$/.test(name)), [])
     })
 
-    it('stand in the operators\' page as in the code', async t => {
+    it('are documented on the operators\' page as in the code', async t => {
       const page = await readFile(new URL('../../../../../docs/operators/logs-and-metrics.md', import.meta.url), 'utf8')
       const rows = Object.entries(metricTable).map(([name, { kind, labels, help }]) => `| \`${name}\` | ${kind} | ${labels.join(', ') || '-'} | ${help} |`)
       t.deepEqual(rows.filter(row => !page.includes(row)), [])
--- a/packages/foxtaillever-router/src/telemetry/decisionRecord.ts
+++ b/packages/foxtaillever-router/src/telemetry/decisionRecord.ts
@@ -1,19 +1,19 @@
 /**
- * What was decided for the latest requests, for `explain`. Bounded three ways:
- * requests, decisions of each, and candidates of each decision. The oldest
- * request makes room for a new one.
+ * Decisions on the latest requests, for `explain`. The numbers of requests, of
+ * decisions per request and of candidates per decision are limited. A new request
+ * replaces the oldest one.
  */
 import type { Job } from 'foxtaillever-policy'
 import type { Decision, Explanation } from 'foxtaillever-control'
 
-/** Requests kept: five minutes at the 14.5 requests a second of the two-year size. */
-export const KEPT_REQUESTS = 4096
+/** Maximum requests: five minutes at 14.5 requests a second, the rate expected in two years. */
+export const MAX_REQUESTS = 4096
 
-/** A request refused, sent, retried and answered needs fewer. */
-const KEPT_DECISIONS = 24
+/** Maximum decisions per request; one that is retried a few times needs fewer. */
+const MAX_DECISIONS = 24
 
-/** Cheapest candidates kept of each decision; with hundreds of servers the rest are far off. */
-const KEPT_CANDIDATES = 8
+/** Cheapest candidates kept per decision; with hundreds of servers the others are far more expensive. */
+const MAX_CANDIDATES = 8
 
 interface Entry {
   readonly job: Pick<Job, 'id' | 'account' | 'model' | 'arrivedAt' | 'deadline'>
@@ -26,7 +26,7 @@
 
   private constructor (private readonly instance: string, private readonly capacity: number) {}
 
-  static create (instance: string, capacity = KEPT_REQUESTS): DecisionRecord {
+  static create (instance: string, capacity = MAX_REQUESTS): DecisionRecord {
     return new DecisionRecord(instance, capacity)
   }
 
@@ -34,7 +34,7 @@
     return this.entries.size
   }
 
-  open ({ id, account, model, arrivedAt, deadline }: Job): void {
+  addRequest ({ id, account, model, arrivedAt, deadline }: Job): void {
     const oldest = this.entries.keys().next()
     if (this.entries.size >= this.capacity && oldest.done !== true) {
       this.entries.delete(oldest.value)
@@ -42,19 +42,19 @@
     this.entries.set(id, { job: { id, account, model, arrivedAt, deadline }, decisions: [], leftOut: 0 })
   }
 
-  add (requestId: string, decision: Decision): void {
+  addDecision (requestId: string, decision: Decision): void {
     const entry = this.entries.get(requestId)
     if (!entry) {
       return
     }
-    if (entry.decisions.length >= KEPT_DECISIONS) {
+    if (entry.decisions.length >= MAX_DECISIONS) {
       entry.leftOut += 1
       return
     }
-    entry.decisions.push({ ...decision, candidates: decision.candidates.slice(0, KEPT_CANDIDATES) })
+    entry.decisions.push({ ...decision, candidates: decision.candidates.slice(0, MAX_CANDIDATES) })
   }
 
-  /** By the request's own id, or by the id that its caller gave, which ours begins with. */
+  /** Finds a request by its own id, or by the id that its caller gave, with which its own id begins. */
   find (requestId: string): Explanation | undefined {
     const entry = this.entries.get(requestId) ?? this.findLatest(`${requestId}.`)
     if (!entry) {
--- a/packages/foxtaillever-router/src/telemetry/metricTable.ts
+++ b/packages/foxtaillever-router/src/telemetry/metricTable.ts
@@ -1,7 +1,7 @@
 /**
- * All metrics in one table: names with their unit, help, and labels whose
- * values are bounded by the configuration or by an enum of the code. The page
- * docs/operators/logs-and-metrics.md shows the same table; a test compares.
+ * All metrics in one table: names with their units, help texts, and labels whose
+ * values are limited by the configuration or by an enum in the code. A test
+ * checks that docs/operators/logs-and-metrics.md shows the same table.
  */
 import { FIRST_TOKEN_BUCKETS_S } from 'foxtaillever-control'
 
@@ -67,5 +67,5 @@
   [MetricName.InvariantViolations]: { kind: Counter, help: 'Times that it did not hold: a fault of the program, to be reported.', labels: ['invariant'] }
 }
 
-/** Closed ends of the buckets; the library adds the open one. */
+/** Upper bounds of the buckets; the library adds the unbounded one. */
 export const HISTOGRAM_BUCKETS_S: readonly number[] = FIRST_TOKEN_BUCKETS_S.filter(end => end !== Infinity)
--- a/packages/foxtaillever-router/src/telemetry/metrics.ts
+++ b/packages/foxtaillever-router/src/telemetry/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * The metrics of one instance. They are its only counts: what operators see by
- * command line is read from them too.
+ * The metrics of one instance. They are its only counters: the figures that
+ * operators see on the command line are read from them too.
  */
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client'
 import { HISTOGRAM_BUCKETS_S, MetricKind, MetricName, metricTable, type MetricRow } from './metricTable.js'
@@ -11,30 +11,30 @@
 
 /** One value of a metric with its labels. */
 export interface Sample {
-  /** The metric's name, or its with `_bucket`, `_sum` or `_count`. */
+  /** The metric's name, possibly with the suffix `_bucket`, `_sum` or `_count`. */
   readonly name: string
   readonly labels: Readonly<Record<string, string | number | undefined>>
   readonly value: number
 }
 
-type Maker = (name: MetricName, row: MetricRow, registers: Registry[]) => AnyMetric
+type MetricFactory = (name: MetricName, row: MetricRow, registers: Registry[]) => AnyMetric
 
-const makers: Record<MetricKind, Maker> = {
+const metricFactories: Record<MetricKind, MetricFactory> = {
   [MetricKind.Counter]: (name, { help, labels }, registers) => new Counter({ name, help, labelNames: [...labels], registers }),
   [MetricKind.Gauge]: (name, { help, labels }, registers) => new Gauge({ name, help, labelNames: [...labels], registers }),
   [MetricKind.Histogram]: (name, { help, labels }, registers) => new Histogram({ name, help, labelNames: [...labels], buckets: [...HISTOGRAM_BUCKETS_S], registers })
 }
 
-/** What is looked up when the metrics are read. */
-export type Reading = () => ReadonlyArray<{ readonly name: MetricName, readonly labels?: Labels, readonly value: number }>
+/** Returns current values when the metrics are read. */
+export type MetricReader = () => ReadonlyArray<{ readonly name: MetricName, readonly labels?: Labels, readonly value: number }>
 
 export class Metrics {
   private readonly registry = new Registry()
   private readonly metrics: Readonly<Record<MetricName, AnyMetric>>
-  private readings: Reading[] = []
+  private readers: MetricReader[] = []
 
   private constructor () {
-    const entries = Object.values(MetricName).map(name => [name, makers[metricTable[name].kind](name, metricTable[name], [this.registry])] as const)
+    const entries = Object.values(MetricName).map(name => [name, metricFactories[metricTable[name].kind](name, metricTable[name], [this.registry])] as const)
     this.metrics = Object.fromEntries(entries) as Record<MetricName, AnyMetric>
   }
 
@@ -52,19 +52,19 @@
     (this.metrics[name] as Counter).inc(labels, amount)
   }
 
-  /** Adds an observation, in the unit of the name, to a histogram. */
+  /** Adds a value, in the unit of the metric's name, to a histogram. */
   observe (name: MetricName, labels: Labels, value: number): void {
     (this.metrics[name] as Histogram).observe(labels, value)
   }
 
-  /** Looks gauges up whenever the metrics are read. */
-  onRead (reading: Reading): void {
-    this.readings.push(reading)
+  /** Calls the reader for current values whenever the metrics are read. */
+  onRead (reader: MetricReader): void {
+    this.readers.push(reader)
   }
 
   private refresh (): void {
-    const read = this.readings.flatMap(reading => reading())
-    // Reset before all, since one counter may have several readings, one for each label.
+    const read = this.readers.flatMap(reader => reader())
+    // All counters are reset first, since one counter may have several values, one per label.
     new Set(read.map(({ name }) => this.metrics[name])).forEach(metric => metric instanceof Counter && metric.reset())
     for (const { name, labels = {}, value } of read) {
       const metric = this.metrics[name]
--- a/packages/foxtaillever-router/src/telemetry/readFigures.ts
+++ b/packages/foxtaillever-router/src/telemetry/readFigures.ts
@@ -1,6 +1,4 @@
-/**
- * Reads what operators see from the metrics.
- */
+/** Reads the figures that operators see from the metrics. */
 import { PriorityClass } from 'foxtaillever-core'
 import { createFigures, FIRST_TOKEN_BUCKETS_S, type Figures } from 'foxtaillever-control'
 import { MetricName } from './metricTable.js'
@@ -21,7 +19,7 @@
   return sums
 }
 
-/** Buckets of the library are cumulative and may hold many label sets. */
+/** Converts the library's cumulative buckets, summed over all label sets, to counts per bucket. */
 function readBuckets (samples: readonly Sample[]): readonly number[] {
   const upTo = sumBy(samples.filter(({ name }) => name.endsWith('_bucket')), 'le')
   const cumulative = FIRST_TOKEN_BUCKETS_S.map(end => upTo[end === Infinity ? '+Inf' : String(end)] ?? 0)
--- a/packages/foxtaillever-router/src/telemetry/readInvariants.ts
+++ b/packages/foxtaillever-router/src/telemetry/readInvariants.ts
@@ -1,9 +1,9 @@
-/** Counts of the invariants, as metrics; each has both lines from the start, so that none is missing. */
+/** Counts of the invariants, as metrics. Every invariant has both lines from the start, so that none is missing. */
 import type { Invariants } from '../core/invariants.js'
 import { MetricName } from './metricTable.js'
-import type { Reading } from './metrics.js'
+import type { MetricReader } from './metrics.js'
 
-export function readInvariants (invariants: Invariants): ReturnType<Reading> {
+export function readInvariants (invariants: Invariants): ReturnType<MetricReader> {
   return Object.entries(invariants.report()).flatMap(([invariant, { checked, violated }]) => [
     { name: MetricName.InvariantChecks, labels: { invariant }, value: checked },
     { name: MetricName.InvariantViolations, labels: { invariant }, value: violated }
--- a/packages/foxtaillever-router/src/telemetry/requestObserver.ts
+++ b/packages/foxtaillever-router/src/telemetry/requestObserver.ts
@@ -1,5 +1,5 @@
 /**
- * What the router's core tells of each request, for logs, metrics and
+ * What the router core reports about each request, for logs, metrics and
  * explanations. Every request that arrives ends with exactly one of refused,
  * failed, finished and cancelled.
  */
@@ -8,32 +8,32 @@
 
 export interface RequestObserver {
   arrived: (job: Job) => void
-  /** @param rule that refused; the failure's code when no rule is named. */
+  /** @param rule the rule that refused the request, or the failure's code if there is none. */
   refused: (job: Job, rule: string, failure: Failure) => void
   assigned: (job: Job, assignment: Assignment) => void
-  /** Sent under a claim that stands in the log. */
+  /** The claim of the request won in the log. */
   claimed: (job: Job, server: string) => void
   started: (job: Job, server: string, start: StreamStart) => void
   firstToken: (job: Job, server: string) => void
-  /** A try is over and the job waits again. */
+  /** An attempt failed and the job waits again. */
   retried: (job: Job, server: string, failure: Failure) => void
   failed: (job: Job, server: string, failure: Failure) => void
   finished: (job: Job, server: string, end: StreamEnd) => void
   cancelled: (job: Job, server: string) => void
 }
 
-const nothing = (): void => {}
+const ignore = (): void => {}
 
-/** Where nobody wants to know. */
+/** Ignores all reports. */
 export const noObserver: RequestObserver = {
-  arrived: nothing,
-  refused: nothing,
-  assigned: nothing,
-  claimed: nothing,
-  started: nothing,
-  firstToken: nothing,
-  retried: nothing,
-  failed: nothing,
-  finished: nothing,
-  cancelled: nothing
+  arrived: ignore,
+  refused: ignore,
+  assigned: ignore,
+  claimed: ignore,
+  started: ignore,
+  firstToken: ignore,
+  retried: ignore,
+  failed: ignore,
+  finished: ignore,
+  cancelled: ignore
 }
--- a/packages/foxtaillever-router/src/telemetry/sentPrefixes.ts
+++ b/packages/foxtaillever-router/src/telemetry/sentPrefixes.ts
@@ -1,18 +1,18 @@
 /**
- * Prefixes that this instance sent lately, to tell wasted recomputation: tokens
- * computed although they had been computed shortly before.
+ * Prefixes that this instance sent recently. They are used to count wasted
+ * recomputation: tokens computed again shortly after they were computed before.
  */
 import type { PrefixLevel } from 'foxtaillever-core'
 
-/** Engines evict cached blocks within seconds; a minute is the most that could have been kept. */
-const REMEMBERED_MS = 60_000
+/** Engines evict cached blocks within seconds; none is cached for longer than a minute. */
+const RETENTION_MS = 60_000
 
-/** Three levels of the requests of a minute at the two-year size, and some more. */
-const KEPT_PREFIXES = 4096
+/** More than three prefix levels of each request of a minute, at the rate expected in two years. */
+const MAX_PREFIXES = 4096
 
 export class SentPrefixes {
-  /** Key to the instant until which it counts; oldest first. */
-  private readonly until = new Map<string, number>()
+  /** When each prefix expires, milliseconds of Unix time; oldest first. */
+  private readonly expiryTimes = new Map<string, number>()
 
   private constructor () {}
 
@@ -20,20 +20,20 @@
     return new SentPrefixes()
   }
 
-  /** @returns the longest prefix, in tokens, that was sent lately. */
-  longest (account: string, model: string, levels: readonly PrefixLevel[], now: number): number {
-    const known = levels.filter(({ hash }) => (this.until.get(`${account}/${model}/${hash}`) ?? 0) > now)
+  /** @returns the length in tokens of the longest prefix that was sent recently. */
+  longestPrefix (account: string, model: string, levels: readonly PrefixLevel[], now: number): number {
+    const known = levels.filter(({ hash }) => (this.expiryTimes.get(`${account}/${model}/${hash}`) ?? 0) > now)
     return known.at(-1)?.tokens ?? 0
   }
 
   add (account: string, model: string, levels: readonly PrefixLevel[], now: number): void {
     for (const { hash } of levels) {
       const key = `${account}/${model}/${hash}`
-      this.until.delete(key)
-      this.until.set(key, now + REMEMBERED_MS)
+      this.expiryTimes.delete(key)
+      this.expiryTimes.set(key, now + RETENTION_MS)
     }
-    while (this.until.size > KEPT_PREFIXES) {
-      this.until.delete(this.until.keys().next().value as string)
+    while (this.expiryTimes.size > MAX_PREFIXES) {
+      this.expiryTimes.delete(this.expiryTimes.keys().next().value as string)
     }
   }
 }
--- a/packages/foxtaillever-router/src/telemetry/telemetry.ts
+++ b/packages/foxtaillever-router/src/telemetry/telemetry.ts
@@ -1,6 +1,6 @@
 /**
- * Logs, metrics and decision record of one instance, fed by what the router
- * tells of its requests.
+ * Logs, metrics and decision record of one instance, from what the router core
+ * reports about its requests.
  */
 import { FailureCode, PriorityClass, type Clock, type Failure, type StreamEnd, type StreamStart } from 'foxtaillever-core'
 import { DecisionKind, type Decision, type Explanation, type Figures } from 'foxtaillever-control'
@@ -8,7 +8,7 @@
 import { DecisionRecord } from './decisionRecord.js'
 import { Logs, Part, type Subject } from 'foxtaillever-telemetry'
 import { MetricName } from './metricTable.js'
-import { Metrics, type Reading } from './metrics.js'
+import { Metrics, type MetricReader } from './metrics.js'
 import { readFigures } from './readFigures.js'
 import type { RequestObserver } from './requestObserver.js'
 import { SentPrefixes } from './sentPrefixes.js'
@@ -19,7 +19,7 @@
   readonly logs: Logs
 }
 
-/** Requests of one client account that are here now. */
+/** Current requests of one client account. */
 export interface LiveCount {
   readonly waiting: number
   readonly running: number
@@ -28,7 +28,7 @@
 interface LiveRequest {
   readonly job: Job
   running: boolean
-  /** Tokens of its longest prefix that was sent lately, when it was sent. */
+  /** Length in tokens of its longest prefix that had been sent recently when it was sent. */
   sentBefore: number
 }
 
@@ -36,15 +36,15 @@
 
 export class Telemetry implements RequestObserver {
   readonly metrics = Metrics.create()
-  private readonly record: DecisionRecord
+  private readonly decisionRecord: DecisionRecord
   private readonly live = new Map<string, LiveRequest>()
   private readonly prefixes = SentPrefixes.create()
   private readonly startedAt: number
 
   private constructor (private readonly options: TelemetryOptions) {
-    this.record = DecisionRecord.create(options.instance)
+    this.decisionRecord = DecisionRecord.create(options.instance)
     this.startedAt = options.clock.now()
-    this.metrics.onRead(() => this.readLive())
+    this.metrics.onRead(() => this.readLiveRequests())
   }
 
   static create (options: TelemetryOptions): Telemetry {
@@ -52,7 +52,7 @@
   }
 
   explain (requestId: string): Explanation | undefined {
-    return this.record.find(requestId)
+    return this.decisionRecord.find(requestId)
   }
 
   async figures (account?: string): Promise<Figures> {
@@ -67,27 +67,27 @@
 
   /** Sizes of the tables, for the dump. */
   dump (): Readonly<Record<string, number>> {
-    return { requestsHere: this.live.size, requestsExplainable: this.record.size(), logLinesLeftOut: this.options.logs.leftOut() }
+    return { requestsHere: this.live.size, requestsExplainable: this.decisionRecord.size(), logLinesLeftOut: this.options.logs.leftOut() }
   }
 
   arrived (job: Job): void {
-    this.record.open(job)
+    this.decisionRecord.addRequest(job)
     this.live.set(job.id, { job, running: false, sentBefore: 0 })
-    this.decide(job, DecisionKind.Arrived, { message: `class ${job.priority}, ${job.promptTokens} prompt tokens, ${job.idempotent ? 'idempotent' : 'non-idempotent'}` })
+    this.recordDecision(job, DecisionKind.Arrived, { message: `class ${job.priority}, ${job.promptTokens} prompt tokens, ${job.idempotent ? 'idempotent' : 'non-idempotent'}` })
   }
 
   refused (job: Job, rule: string, failure: Failure): void {
     this.live.delete(job.id)
     this.metrics.count(MetricName.Refused, { account: job.account, rule })
     this.countLate(job, failure)
-    this.decide(job, DecisionKind.Refused, { rule, verdict: failure.verdict, message: failure.message })
+    this.recordDecision(job, DecisionKind.Refused, { rule, verdict: failure.verdict, message: failure.message })
     this.options.logs.write('info', Part.Requests, 'A request is refused.', this.subject(job, { rule, code: failure.code, verdict: failure.verdict }))
   }
 
-  /** Refused before it became a request: unknown key, malformed body. */
-  turnedAway (requestId: string, failure: Failure): void {
+  /** A call was refused before it became a request, such as for an unknown key or a malformed body. */
+  rejected (requestId: string, failure: Failure): void {
     this.metrics.count(MetricName.Refused, { account: '', rule: failure.code })
-    this.options.logs.write('info', Part.Callers, 'A call is turned away.', { request: requestId, code: failure.code, verdict: failure.verdict })
+    this.options.logs.write('info', Part.Callers, 'A call is refused before it became a request.', { request: requestId, code: failure.code, verdict: failure.verdict })
   }
 
   assigned (job: Job, { server, candidates, rule }: Assignment): void {
@@ -95,14 +95,14 @@
     const now = this.options.clock.now()
     if (request) {
       request.running = true
-      request.sentBefore = this.prefixes.longest(job.account, job.model, job.levels, now)
+      request.sentBefore = this.prefixes.longestPrefix(job.account, job.model, job.levels, now)
     }
     this.prefixes.add(job.account, job.model, job.levels, now)
-    this.decide(job, DecisionKind.Placed, { server, candidates, rule })
+    this.recordDecision(job, DecisionKind.Placed, { server, candidates, rule })
   }
 
   claimed (job: Job, server: string): void {
-    this.decide(job, DecisionKind.Claimed, { server, message: 'The claim stands in the log.' })
+    this.recordDecision(job, DecisionKind.Claimed, { server, message: 'The claim stands in the log.' })
   }
 
   started (job: Job, server: string, { promptTokens, cachedTokens }: StreamStart): void {
@@ -111,14 +111,14 @@
     this.metrics.count(MetricName.PromptTokens, { account }, promptTokens)
     this.metrics.count(MetricName.CachedTokens, { account }, cachedTokens)
     this.metrics.count(MetricName.RecomputedTokens, { account }, Math.max(0, Math.min(sentBefore, promptTokens) - cachedTokens))
-    this.decide(job, DecisionKind.Started, { server, message: `${cachedTokens} of ${promptTokens} prompt tokens were cached` })
+    this.recordDecision(job, DecisionKind.Started, { server, message: `${cachedTokens} of ${promptTokens} prompt tokens were cached` })
   }
 
   firstToken (job: Job, server: string): void {
     const seconds = (this.options.clock.now() - job.arrivedAt) / 1000
     this.metrics.observe(MetricName.FirstToken, { class: job.priority }, seconds)
     this.metrics.observe(MetricName.AccountFirstToken, { account: job.account }, seconds)
-    this.decide(job, DecisionKind.FirstToken, { server })
+    this.recordDecision(job, DecisionKind.FirstToken, { server })
   }
 
   retried (job: Job, server: string, failure: Failure): void {
@@ -127,15 +127,15 @@
       request.running = false
     }
     this.metrics.count(MetricName.Retried, { account: job.account })
-    this.decide(job, DecisionKind.Retried, { server, verdict: failure.verdict, message: failure.message })
-    this.options.logs.write('warn', Part.Servers, 'A try failed and is made again.', this.subject(job, { server, code: failure.code, verdict: failure.verdict }))
+    this.recordDecision(job, DecisionKind.Retried, { server, verdict: failure.verdict, message: failure.message })
+    this.options.logs.write('warn', Part.Servers, 'An attempt failed; the request is retried.', this.subject(job, { server, code: failure.code, verdict: failure.verdict }))
   }
 
   failed (job: Job, server: string, failure: Failure): void {
     this.live.delete(job.id)
     this.metrics.count(MetricName.Failed, { account: job.account, verdict: failure.verdict })
     this.countLate(job, failure)
-    this.decide(job, DecisionKind.Failed, { server, verdict: failure.verdict, message: failure.message })
+    this.recordDecision(job, DecisionKind.Failed, { server, verdict: failure.verdict, message: failure.message })
     this.options.logs.write('warn', Part.Requests, 'A request failed.', this.subject(job, { server, code: failure.code, verdict: failure.verdict }))
   }
 
@@ -143,14 +143,14 @@
     this.live.delete(job.id)
     this.metrics.count(MetricName.Served, { account: job.account })
     this.metrics.count(MetricName.GeneratedTokens, { account: job.account }, completionTokens)
-    this.decide(job, DecisionKind.Finished, { server, message: `${completionTokens} tokens` })
+    this.recordDecision(job, DecisionKind.Finished, { server, message: `${completionTokens} tokens` })
     this.options.logs.write('debug', Part.Requests, 'A request is answered.', this.subject(job, { server }))
   }
 
   cancelled (job: Job, server: string): void {
     this.live.delete(job.id)
     this.metrics.count(MetricName.Cancelled, { account: job.account })
-    this.decide(job, DecisionKind.Cancelled, { server, message: 'The caller left.' })
+    this.recordDecision(job, DecisionKind.Cancelled, { server, message: 'The caller left.' })
   }
 
   private countLate (job: Job, { code }: Failure): void {
@@ -159,15 +159,15 @@
     }
   }
 
-  private decide (job: Job, kind: DecisionKind, detail: Detail): void {
-    this.record.add(job.id, { kind, at: this.options.clock.now(), rule: '', server: '', candidates: [], message: '', ...detail })
+  private recordDecision (job: Job, kind: DecisionKind, detail: Detail): void {
+    this.decisionRecord.addDecision(job.id, { kind, at: this.options.clock.now(), rule: '', server: '', candidates: [], message: '', ...detail })
   }
 
   private subject ({ id, account }: Job, rest: Subject): Subject {
     return { request: id, account, ...rest }
   }
 
-  private readLive (): ReturnType<Reading> {
+  private readLiveRequests (): ReturnType<MetricReader> {
     const all = [...this.live.values()]
     const waiting = Object.values(PriorityClass).map(name => ({
       name: MetricName.Waiting,
