--- a/packages/foxtaillever-proof/src/world/entry.ts
+++ b/packages/foxtaillever-proof/src/world/entry.ts
@@ -97,10 +97,10 @@
 
   /** Reads the instance list, a peer's configuration and the engines' load, again and again. */
   private look (): void {
-    this.core.observeList(this.options.listOf())
+    this.core.applyInstanceList(this.options.listOf())
     this.options.copies().forEach(copy => this.store.offer(copy))
     for (const name of this.options.engines) {
-      this.engineOf(name).load().then(report => report.ifRight(load => !this.isDead && this.core.observeLoad(name, load)))
+      this.engineOf(name).load().then(report => report.ifRight(load => !this.isDead && this.core.applyLoadReport(name, load)))
     }
     this.clock.at(this.clock.now() + LOOK_MS, () => this.look())
   }
--- a/packages/foxtaillever-proof/src/world/world.ts
+++ b/packages/foxtaillever-proof/src/world/world.ts
@@ -169,7 +169,7 @@
       token: (sequence, data) => {
         this.oracle.token(sending, sequence, data)
         if (isSlowReader) {
-          entry.clock.at(entry.clock.now() + SLOW_READ_MS, () => entry.core.drained(submission.job.id))
+          entry.clock.at(entry.clock.now() + SLOW_READ_MS, () => entry.core.resumeReading(submission.job.id))
         }
         return !isSlowReader
       },
@@ -201,7 +201,7 @@
     sending.isExcused = false
     sending.entry = entry.options.name
     sending.deadline = this.clock.now() + RECONNECT_MS / SLOWEST_RATE
-    entry.core.takeUp(again, { ...position, after: sending.received.length }, this.createResponder(sending, again, entry, false))
+    entry.core.resumeStream(again, { ...position, after: sending.received.length }, this.createResponder(sending, again, entry, false))
   }
 
   crashEntry (index: number): void {
--- a/packages/foxtaillever-router/src/adapters/engineClient.ts
+++ b/packages/foxtaillever-router/src/adapters/engineClient.ts
@@ -41,7 +41,7 @@
   }
 
   cancel (id: string): void {
-    // If the engine cannot be reached, it is gone, and its work with it.
+    // A failure is ignored: an engine that cannot be reached has lost its work as well.
     this.callEngine(this.createCall('POST', `${EnginePath.Cancel}/${encodeURIComponent(id)}`))
   }
 
--- a/packages/foxtaillever-router/src/callers/__tests__/streamToken.test.ts
+++ b/packages/foxtaillever-router/src/callers/__tests__/streamToken.test.ts
@@ -1,9 +1,9 @@
 import { EnginePath } from 'foxtaillever-core'
 import { KeyRing, Permission } from 'foxtaillever-fleet'
 import { describe, it } from 'foxtaillever-testing'
-import { StreamTokens, type StreamClaim } from '../streamToken.js'
+import { StreamTokens, type StreamTokenPayload } from '../streamToken.js'
 
-const claim: StreamClaim = {
+const payload: StreamTokenPayload = {
   account: 'cooperative',
   model: 'order-language',
   path: EnginePath.Completions,
@@ -16,23 +16,23 @@
 
 describe('a stream token', () => {
   it('is read by another instance, also after the keys were rotated', t => {
-    const token = tokensOf('old').make(claim)
-    t.deepEqual(tokensOf('new', 'old').read(token).extract(), claim)
+    const token = tokensOf('old').issue(payload)
+    t.deepEqual(tokensOf('new', 'old').read(token).extract(), payload)
   })
 
-  it('is refused when its key is not in force any more', t => {
-    t.true(tokensOf('new').read(tokensOf('old').make(claim)).isNothing())
+  it('is refused when its key is no longer in force', t => {
+    t.true(tokensOf('new').read(tokensOf('old').issue(payload)).isNothing())
   })
 
-  it('is refused when another account was put into it', t => {
-    // A caller changes its own token to open a neighbour's stream.
-    const [body = '', ...signature] = tokensOf('key').make(claim).split('.')
-    const forged = JSON.parse(Buffer.from(body, 'base64url').toString()) as StreamClaim
+  it('is refused when its account was changed', t => {
+    // A caller changes its own token to read the stream of another account.
+    const [body = '', ...signature] = tokensOf('key').issue(payload).split('.')
+    const forged = JSON.parse(Buffer.from(body, 'base64url').toString()) as StreamTokenPayload
     const token = [Buffer.from(JSON.stringify({ ...forged, account: 'granja' })).toString('base64url'), ...signature].join('.')
     t.true(tokensOf('key').read(token).isNothing())
   })
 
-  it('is refused when it is anything else', t => {
+  it('is refused when it is malformed', t => {
     t.deepEqual(['', '.', 'a.b.c', 'x'.repeat(5000)].map(token => tokensOf('key').read(token).isNothing()), [true, true, true, true])
   })
 })
--- a/packages/foxtaillever-router/src/callers/accounts.ts
+++ b/packages/foxtaillever-router/src/callers/accounts.ts
@@ -1,4 +1,4 @@
-/** Finds the client account of an API key by the key's digest. */
+/** Finds the client account of an API key by the digest of the key. */
 import { createHash } from 'node:crypto'
 import { Failure, FailureCode, type ClientAccount, type Configuration } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
@@ -23,7 +23,7 @@
     this.byDigest = new Map(accounts.flatMap(account => account.keyDigests.map(digest => [digest, account] as const)))
   }
 
-  /** Looking up a digest instead of a key leaks nothing through timing. */
+  /** The lookup is by digest, so that its timing reveals nothing about keys. */
   authenticate (authorization: string | undefined): Either<Failure, ClientAccount> {
     const key = BEARER.exec(authorization ?? '')?.[1]
     const account = key === undefined ? undefined : this.byDigest.get(digestKey(key))
--- a/packages/foxtaillever-router/src/callers/answerBrokenRequest.ts
+++ b/packages/foxtaillever-router/src/callers/answerBrokenRequest.ts
@@ -1,8 +1,8 @@
 /**
- * Answers what never became a request: headers without end, bytes that are not
- * HTTP, senders that are too slow. The HTTP library reports them before any
- * handler, by itself without our verdict; a caller could then not tell whether
- * sending again is safe. Nothing has left this process, so the verdict is known.
+ * Answers input that is not a complete HTTP request: oversized headers, bytes
+ * that are not HTTP, senders that are too slow. The HTTP library reports them
+ * before any handler runs. Its own answer has no verdict, so a caller could not
+ * know whether a retry is safe. Nothing was sent on, so the verdict is "not run".
  */
 import { STATUS_CODES } from 'node:http'
 import type { Socket } from 'node:net'
@@ -15,9 +15,9 @@
   readonly message: string
 }
 
-const malformed: BrokenRequest = { status: 400, code: FailureCode.BadRequest, message: 'These bytes are not a request of HTTP.' }
+const malformed: BrokenRequest = { status: 400, code: FailureCode.BadRequest, message: 'The received bytes are not an HTTP request.' }
 
-/** By the code of the HTTP library's error. */
+/** Keyed by the error code of the HTTP library. */
 const brokenRequests: Record<string, BrokenRequest> = {
   HPE_HEADER_OVERFLOW: { status: 431, code: FailureCode.TooLarge, message: 'The headers are too large.' },
   ERR_HTTP_REQUEST_TIMEOUT: { status: 408, code: FailureCode.BadRequest, message: 'The request took too long to arrive.' }
--- a/packages/foxtaillever-router/src/callers/wholeResponder.ts
+++ b/packages/foxtaillever-router/src/callers/bufferedResponder.ts
@@ -1,16 +1,16 @@
-/** Collects an answer and sends it whole. */
+/** Collects an answer and sends it when it is complete. */
 import { CallerHeader, type Failure, type StreamEnd } from 'foxtaillever-core'
 import type { Responder } from '../core/request.js'
 import { chunkForms } from './chunkForm.js'
 import { sendFailure, type ResponderOptions } from './streamResponder.js'
 
-export class WholeResponder implements Responder {
+export class BufferedResponder implements Responder {
   private readonly texts: string[] = []
 
   private constructor (private readonly options: ResponderOptions) {}
 
-  static create (options: ResponderOptions): WholeResponder {
-    return new WholeResponder(options)
+  static create (options: ResponderOptions): BufferedResponder {
+    return new BufferedResponder(options)
   }
 
   started (): void {}
--- a/packages/foxtaillever-router/src/callers/callerServer.ts
+++ b/packages/foxtaillever-router/src/callers/callerServer.ts
@@ -1,4 +1,4 @@
-/** The callers' side over HTTP: the usual completions protocol. */
+/** The HTTP server for callers: the usual completions protocol. */
 import { randomUUID } from 'node:crypto'
 import fastify, { type FastifyError, type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify'
 import { CallerHeader, EnginePath, Failure, FailureCode, type ClientAccount, type Clock, type Configuration } from 'foxtaillever-core'
@@ -11,10 +11,10 @@
 import { failureBody, failureHeaders } from './failureBody.js'
 import { readSubmission, type CompletionPath, type ReadCall } from './readSubmission.js'
 import { statusOf } from './statusOf.js'
-import { readTakeUp, type TakeUp } from './readTakeUp.js'
+import { readStreamResumption, type StreamResumption } from './readStreamResumption.js'
 import { StreamResponder } from './streamResponder.js'
 import type { StreamTokens } from './streamToken.js'
-import { WholeResponder } from './wholeResponder.js'
+import { BufferedResponder } from './bufferedResponder.js'
 
 export interface CallerServerOptions {
   readonly clock: Clock
@@ -23,19 +23,19 @@
   readonly accounts: Accounts
   readonly tokens: StreamTokens
   readonly configuration: () => Configuration | undefined
-  /** Whether new requests are taken; false once a shutdown began. */
+  /** Whether new requests are accepted; false once a shutdown has begun. */
   readonly accepting: () => boolean
   readonly limits: Pick<InstanceLimits, 'bodyBytes' | 'headerBytes' | 'arrivalTimeoutMs' | 'idleTimeoutMs'>
-  /** Is told of calls that never became requests. */
-  readonly turnedAway?: (requestId: string, failure: Failure) => void
+  /** Notified of calls that were refused before they became requests. */
+  readonly onRejected?: (requestId: string, failure: Failure) => void
 }
 
-/** How often slow senders are looked for, milliseconds; the library's own 30 s would double their time. */
-const SLOW_SENDER_LOOK_MS = 1000
-/** Stream tokens stand in the path, characters. */
-const LONGEST_PARAMETER = 2048
+/** Interval at which slow senders are checked, milliseconds; with the library's default of 30 s they would have twice their time. */
+const SLOW_SENDER_CHECK_INTERVAL_MS = 1000
+/** Maximum length of a path parameter, characters; stream tokens are part of the path. */
+const MAX_PARAMETER_CHARACTERS = 2048
 
-interface Admitted {
+interface AdmittedCall {
   readonly account: ClientAccount
   readonly configuration: Configuration
 }
@@ -47,14 +47,14 @@
     const { bodyBytes, headerBytes, arrivalTimeoutMs, idleTimeoutMs } = options.limits
     this.http = fastify({
       bodyLimit: bodyBytes,
-      routerOptions: { maxParamLength: LONGEST_PARAMETER },
+      routerOptions: { maxParamLength: MAX_PARAMETER_CHARACTERS },
       requestTimeout: arrivalTimeoutMs,
       keepAliveTimeout: idleTimeoutMs,
       http: {
         maxHeaderSize: headerBytes,
         // The library takes the larger of the two limits for the whole request.
         headersTimeout: arrivalTimeoutMs,
-        connectionsCheckingInterval: Math.min(arrivalTimeoutMs, SLOW_SENDER_LOOK_MS)
+        connectionsCheckingInterval: Math.min(arrivalTimeoutMs, SLOW_SENDER_CHECK_INTERVAL_MS)
       },
       clientErrorHandler: answerBrokenRequest
     })
@@ -91,7 +91,7 @@
     })
   }
 
-  private admit (request: FastifyRequest): Either<Failure, Admitted> {
+  private admit (request: FastifyRequest): Either<Failure, AdmittedCall> {
     if (!this.options.accepting()) {
       return Left(Failure.notRun(FailureCode.Leaving, 'This instance is shutting down.', this.options.clock.now()))
     }
@@ -113,49 +113,49 @@
     })
   }
 
-  private serve (call: ReadCall, reply: FastifyReply, mayComeBack: boolean): void {
+  private serve (call: ReadCall, reply: FastifyReply, mayResume: boolean): void {
     reply.hijack()
     const response = reply.raw
     const { submission, includeUsage } = call
     const { tokens, clock, core } = this.options
     const options = { response, submission, clock, includeUsage, tokens }
-    const responder = call.stream ? StreamResponder.create(options) : WholeResponder.create(options)
-    this.follow(reply, submission.job.id, call.stream && mayComeBack)
+    const responder = call.stream ? StreamResponder.create(options) : BufferedResponder.create(options)
+    this.watchConnection(reply, submission.job.id, call.stream && mayResume)
     core.submit(submission, responder)
   }
 
-  /** The caller's side of a request: it may read slowly, and it may go. */
-  private follow (reply: FastifyReply, jobId: string, mayComeBack: boolean): void {
+  /** Handles a caller that reads slowly or disconnects. */
+  private watchConnection (reply: FastifyReply, jobId: string, mayResume: boolean): void {
     const response = reply.raw
     response.on('close', () => {
       if (!response.writableFinished) {
-        this.options.core.abandon(jobId, mayComeBack)
+        this.options.core.abandon(jobId, mayResume)
       }
     })
-    response.on('drain', () => this.options.core.drained(jobId))
+    response.on('drain', () => this.options.core.resumeReading(jobId))
   }
 
-  /** Takes up a stream where its caller was cut off, whichever instance began it. */
+  /** Resumes a stream where its caller was disconnected, whichever instance began it. */
   private addStreams (): void {
     this.http.get<{ Params: { token: string } }>('/v1/streams/:token', (request, reply) => {
       const { clock, tokens } = this.options
       this.admit(request)
-        .chain(({ account, configuration }) => readTakeUp({ token: request.params.token, headers: request.headers, account, configuration, clock, tokens }))
+        .chain(({ account, configuration }) => readStreamResumption({ token: request.params.token, headers: request.headers, account, configuration, clock, tokens }))
         .caseOf({
           Left: failure => this.refuse(request, reply, failure),
-          Right: call => this.takeUp(call, reply)
+          Right: call => this.resumeStream(call, reply)
         })
     })
   }
 
-  private takeUp ({ submission, position }: TakeUp, reply: FastifyReply): void {
+  private resumeStream ({ submission, position }: StreamResumption, reply: FastifyReply): void {
     reply.hijack()
     const { tokens, clock, core } = this.options
-    this.follow(reply, submission.job.id, true)
-    core.takeUp(submission, position, StreamResponder.create({ response: reply.raw, submission, clock, includeUsage: false, tokens }))
+    this.watchConnection(reply, submission.job.id, true)
+    core.resumeStream(submission, position, StreamResponder.create({ response: reply.raw, submission, clock, includeUsage: false, tokens }))
   }
 
-  /** Any path that is not a call of the completions protocol may be a plain service's; its body passes as it came. */
+  /** Any path outside the completions protocol may belong to a plain service; its body is passed on unchanged. */
   private addPlainServices (): void {
     this.http.register(async plain => {
       plain.removeAllContentTypeParsers()
@@ -171,14 +171,14 @@
 
   private refuse (request: FastifyRequest, reply: FastifyReply, failure: Failure): void {
     const id = typeof request.headers[CallerHeader.RequestId] === 'string' ? request.headers[CallerHeader.RequestId] : randomUUID()
-    this.options.turnedAway?.(id, failure)
+    this.options.onRejected?.(id, failure)
     reply.code(statusOf[failure.code])
       .headers(failureHeaders(failure, id, this.options.clock))
       .send(failureBody(failure, id))
   }
 }
 
-/** Errors found by the HTTP library before a handler ran: nothing has left. */
+/** Errors found by the HTTP library before a handler ran: nothing was sent to a backend server. */
 function readHttpError (error: FastifyError): Failure {
   if (error.statusCode === 413) {
     return Failure.notRun(FailureCode.TooLarge, 'The body is too large.')
--- a/packages/foxtaillever-router/src/callers/chunkForm.ts
+++ b/packages/foxtaillever-router/src/callers/chunkForm.ts
@@ -1,4 +1,4 @@
-/** The two forms of answers in the completions protocol. */
+/** The two answer formats of the completions protocol. */
 import { EnginePath, type StreamEnd } from 'foxtaillever-core'
 import type { CompletionPath } from './readSubmission.js'
 
@@ -8,9 +8,9 @@
 export interface ChunkForm {
   /** Text of one chunk as the engine sent it. */
   readonly textOf: (data: string) => string
-  /** Last chunk of a stream. */
+  /** The last chunk of a stream. */
   readonly lastChunk: (id: string, model: string, end: StreamEnd) => unknown
-  /** A whole answer. */
+  /** A complete answer that is not streamed. */
   readonly whole: (id: string, model: string, text: string, end: StreamEnd) => unknown
 }
 
--- a/packages/foxtaillever-router/src/callers/failureBody.ts
+++ b/packages/foxtaillever-router/src/callers/failureBody.ts
@@ -24,7 +24,7 @@
   }
 }
 
-/** Whole seconds until a new try makes sense, at least one. */
+/** Whole seconds until a retry makes sense, at least one. */
 function retryAfterSeconds (retryAt: number, clock: Clock): string {
   return String(Math.max(1, Math.ceil((retryAt - clock.now()) / 1000)))
 }
--- a/packages/foxtaillever-router/src/callers/readSubmission.ts
+++ b/packages/foxtaillever-router/src/callers/readSubmission.ts
@@ -12,15 +12,15 @@
 export type CompletionPath = EnginePath.Completions | EnginePath.ChatCompletions
 
 const DEFAULT_MAX_TOKENS = 16
-const LARGEST_MAX_TOKENS = 32_768
+const MAX_COMPLETION_TOKENS = 32_768
 
-/** No deadline lies further ahead than this, milliseconds. */
-const LONGEST_TIMEOUT_MS = 3_600_000
+/** Maximum time from now to a deadline, milliseconds. */
+const MAX_TIMEOUT_MS = 3_600_000
 
 const shared = {
   model: z.string().min(1).max(200),
-  max_tokens: z.number().int().min(1).max(LARGEST_MAX_TOKENS).nullish(),
-  max_completion_tokens: z.number().int().min(1).max(LARGEST_MAX_TOKENS).nullish(),
+  max_tokens: z.number().int().min(1).max(MAX_COMPLETION_TOKENS).nullish(),
+  max_completion_tokens: z.number().int().min(1).max(MAX_COMPLETION_TOKENS).nullish(),
   stream: z.boolean().nullish(),
   stream_options: z.object({ include_usage: z.boolean().optional() }).nullish(),
   n: z.literal(1).nullish()
@@ -39,13 +39,13 @@
   readonly stream: boolean
   readonly includeUsage: boolean
   readonly prompt: Prompt
-  /** What goes to the engine. */
+  /** The body that is sent to the engine. */
   readonly forwarded: Record<string, unknown>
 }
 
 type BodyReader = (body: unknown) => z.SafeParseReturnType<unknown, ReadBody>
 
-function limits (body: { max_tokens?: number | null, max_completion_tokens?: number | null, stream?: boolean | null, stream_options?: { include_usage?: boolean } | null }) {
+function readLimits (body: { max_tokens?: number | null, max_completion_tokens?: number | null, stream?: boolean | null, stream_options?: { include_usage?: boolean } | null }) {
   return {
     maxTokens: body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_MAX_TOKENS,
     stream: body.stream ?? false,
@@ -53,19 +53,19 @@
   }
 }
 
-/** Made once: a schema costs more to make than to use. */
+/** Created once, since creating a schema costs more than using it. */
 const textReader = textBody.transform(({ prompt_levels: ends, ...read }): ReadBody => ({
-  ...limits(read),
+  ...readLimits(read),
   model: read.model,
   prompt: createTextPrompt(read.prompt, ends),
-  forwarded: { model: read.model, prompt: read.prompt, max_tokens: limits(read).maxTokens, stream: true }
+  forwarded: { model: read.model, prompt: read.prompt, max_tokens: readLimits(read).maxTokens, stream: true }
 }))
 
 const chatReader = chatBody.transform((read): ReadBody => ({
-  ...limits(read),
+  ...readLimits(read),
   model: read.model,
   prompt: createChatPrompt(read.messages),
-  forwarded: { model: read.model, messages: read.messages, max_tokens: limits(read).maxTokens, stream: true }
+  forwarded: { model: read.model, messages: read.messages, max_tokens: readLimits(read).maxTokens, stream: true }
 }))
 
 const readers: Record<CompletionPath, BodyReader> = {
@@ -93,7 +93,7 @@
   return typeof value === 'string' ? value : ''
 }
 
-function bad (message: string): Failure {
+function badRequest (message: string): Failure {
   return Failure.notRun(FailureCode.BadRequest, message)
 }
 
@@ -102,8 +102,8 @@
   const absolute = headerOf(context, CallerHeader.Deadline)
   const relative = headerOf(context, CallerHeader.Timeout)
   const deadline = absolute !== '' ? Number(absolute) : now + Number(relative || presetOf(context.configuration).defaultTimeoutMs)
-  if (!Number.isFinite(deadline) || deadline > now + LONGEST_TIMEOUT_MS) {
-    return Left(bad(`The deadline must be a number at most ${LONGEST_TIMEOUT_MS} ms ahead.`))
+  if (!Number.isFinite(deadline) || deadline > now + MAX_TIMEOUT_MS) {
+    return Left(badRequest(`The deadline must be a number at most ${MAX_TIMEOUT_MS} ms ahead.`))
   }
   if (deadline <= now) {
     return Left(Failure.notRun(FailureCode.DeadlinePassed, 'The deadline had passed when the request arrived.'))
@@ -113,15 +113,15 @@
 
 const priorities = Object.values(PriorityClass)
 
-/** A caller may ask for a lower class than its account has, never for a higher one. */
+/** A caller may request a lower class than that of its account, never a higher one. */
 function readPriority (context: CallContext): Either<Failure, PriorityClass> {
-  const asked = headerOf(context, CallerHeader.Priority)
-  if (asked === '') {
+  const requested = headerOf(context, CallerHeader.Priority)
+  if (requested === '') {
     return Right(context.account.priority)
   }
-  const rank = priorities.indexOf(asked as PriorityClass)
+  const rank = priorities.indexOf(requested as PriorityClass)
   if (rank < 0) {
-    return Left(bad(`The priority must be one of ${priorities.join(', ')}.`))
+    return Left(badRequest(`The priority must be one of ${priorities.join(', ')}.`))
   }
   const lowest = Math.max(rank, priorities.indexOf(context.account.priority))
   return Right(priorities[lowest] ?? context.account.priority)
@@ -131,7 +131,7 @@
   const read = readers[context.path](context.body)
   if (!read.success) {
     const issue = read.error.issues[0]
-    return Left(bad(`${issue?.path.join('.') || 'body'}: ${issue?.message ?? 'not understood'}`))
+    return Left(badRequest(`${issue?.path.join('.') || 'body'}: ${issue?.message ?? 'cannot be read'}`))
   }
   if (!Object.hasOwn(context.configuration.models, read.data.model)) {
     return Left(Failure.notRun(FailureCode.UnknownModel, `Model ${read.data.model} is not known here.`))
@@ -151,7 +151,7 @@
 
 function requestIdOf (context: CallContext): string {
   const given = headerOf(context, CallerHeader.RequestId)
-  // The caller's id is kept for its own records but made unique, since callers send again.
+  // The caller's id is kept as a prefix and made unique, since callers reuse ids for retries.
   return REQUEST_ID.test(given) ? `${given}.${randomUUID().slice(0, 8)}` : randomUUID()
 }
 
@@ -159,7 +159,7 @@
   const idempotencyKey = headerOf(context, CallerHeader.IdempotencyKey)
   const nonIdempotent = isNonIdempotent(context)
   if (nonIdempotent && idempotencyKey === '') {
-    return Left(bad('A non-idempotent request needs an idempotency key.'))
+    return Left(badRequest('A non-idempotent request needs an idempotency key.'))
   }
   return readDeadline(context).chain(deadline =>
     readPriority(context).chain(priority =>
--- a/packages/foxtaillever-router/src/callers/statusOf.ts
+++ b/packages/foxtaillever-router/src/callers/statusOf.ts
@@ -1,4 +1,4 @@
-/** HTTP status for each failure; 4xx where sending the same again cannot help. */
+/** HTTP status for each failure; mostly 4xx where a retry of the same request cannot help. */
 import { FailureCode } from 'foxtaillever-core'
 
 export const statusOf: Record<FailureCode, number> = {
--- a/packages/foxtaillever-router/src/callers/streamResponder.ts
+++ b/packages/foxtaillever-router/src/callers/streamResponder.ts
@@ -1,7 +1,7 @@
 /**
- * Streams an answer to a caller over server-sent events. The id of each event
- * is the token's number, so a caller sees that nothing is missing; a stream
- * without its closing event is an error.
+ * Streams an answer to a caller as server-sent events. The id of each event is
+ * the token's sequence number, so that a caller can detect missing tokens; a
+ * stream without its closing event is incomplete.
  */
 import type { ServerResponse } from 'node:http'
 import { CallerHeader, type Clock, type Failure, type StreamEnd, type StreamStart } from 'foxtaillever-core'
@@ -37,7 +37,7 @@
     this.options.response.flushHeaders()
   }
 
-  /** A comment, which clients that know nothing of tokens pass over. */
+  /** Sends the new token as a comment, which clients that do not know stream tokens ignore. */
   moved (position: StreamPosition): void {
     this.options.response.write(`: ${CallerHeader.StreamToken} ${this.tokenOf(position)}\n\n`)
   }
@@ -45,7 +45,7 @@
   private tokenOf (position: StreamPosition): string {
     const { tokens, submission } = this.options
     const { account, model } = submission.job
-    return tokens.make({ account, model, path: submission.path, position })
+    return tokens.issue({ account, model, path: submission.path, position })
   }
 
   token (sequence: number, data: string): boolean {
@@ -65,7 +65,7 @@
   }
 }
 
-/** Before the headers a failure is a status; after them it is an event that ends the stream. */
+/** Sends a failure as a status before the headers were sent, and as an event that ends the stream after that. */
 export function sendFailure ({ response, submission, clock }: ResponderOptions, failure: Failure): void {
   const { id } = submission.job
   if (response.headersSent) {
--- a/packages/foxtaillever-router/src/callers/writeFailure.ts
+++ b/packages/foxtaillever-router/src/callers/writeFailure.ts
@@ -1,4 +1,4 @@
-/** Writes a failure to a caller that has nothing of an answer yet. */
+/** Writes a failure to a caller to which nothing of an answer was sent. */
 import type { ServerResponse } from 'node:http'
 import type { Clock, Failure } from 'foxtaillever-core'
 import { failureBody, failureHeaders } from './failureBody.js'
--- a/packages/foxtaillever-router/src/control/instanceControl.ts
+++ b/packages/foxtaillever-router/src/control/instanceControl.ts
@@ -1,6 +1,4 @@
-/**
- * What one entry instance lets operators do.
- */
+/** The operations that one entry instance offers to operators. */
 import {
   AdministrativeState, Failure, FailureCode,
   type Clock, type Configuration
@@ -18,12 +16,12 @@
 import { Part, type Logs } from 'foxtaillever-telemetry'
 import { createDump } from './createDump.js'
 
-/** The part of the fleet that operators see. */
+/** The part of the fleet that operators can see and change. */
 export type FleetSource = Pick<Fleet, 'store' | 'publish' | 'waitInForce' | 'memberEntries'> & { readonly dump: () => FleetDump }
 
-/** Gives orders to backend servers and follows them. */
-export interface OrderDesk {
-  give: (order: ServerOrder, author: string) => Promise<Either<Failure, OrderProgress>>
+/** Accepts orders to backend servers and reports their progress. */
+export interface OrderHandler {
+  submit: (order: ServerOrder, author: string) => Promise<Either<Failure, OrderProgress>>
   list: () => readonly OrderProgress[]
 }
 
@@ -36,7 +34,7 @@
   readonly telemetry: Telemetry
   readonly logs: Logs
   /** Without it, orders are refused. */
-  readonly orders?: OrderDesk
+  readonly orders?: OrderHandler
 }
 
 const conditions: Record<MemberState, MemberCondition> = {
@@ -62,7 +60,7 @@
     return Right({ configuration, offset, digest, history })
   }
 
-  /** Checked as a whole before it is written: the log would keep a contradiction for ever. */
+  /** Validates the resulting configuration before it is written, since an invalid change would stay in the log. */
   async publish (order: PublicationOrder): Promise<Either<Failure, Publication>> {
     const configuration = this.inForce()
     const findings = order.base === configuration.revision ? validateConfiguration(order.changes.reduce(applyChange, configuration)) : []
@@ -137,13 +135,13 @@
   async giveOrder (order: ServerOrder, author: string): Promise<Either<Failure, OrderProgress>> {
     const { orders, logs } = this.options
     if (!orders) {
-      return Left(Failure.notRun(FailureCode.BackendServerRefused, 'This instance gives no orders to backend servers.'))
+      return Left(Failure.notRun(FailureCode.BackendServerRefused, 'This instance cannot give orders to backend servers.'))
     }
     if (!(order.server in this.inForce().servers)) {
       return Left(Failure.notRun(FailureCode.BadRequest, `There is no backend server "${order.server}": \`foxtaillever servers\` lists them.`))
     }
     logs.write('info', Part.Control, 'An order was given.', { operator: author, server: order.server, order: order.kind, value: order.value })
-    return await orders.give(order, author)
+    return await orders.submit(order, author)
   }
 
   orders (): readonly OrderProgress[] {
--- a/packages/foxtaillever-router/src/core/__fixtures__/coreRig.ts
+++ b/packages/foxtaillever-router/src/core/__fixtures__/coreRig.ts
@@ -1,4 +1,4 @@
-/** The router core before engines whose every word a test speaks. */
+/** The router core with engines whose every event is scripted by the test. */
 import {
   AdministrativeState, emptyConfiguration, EnginePath, Failure, FailureCode, ListedKind, ListedState, PriorityClass, SeededRandom, ServerKind, Verdict,
   type Configuration, type Engine, type GenerateCall, type GenerateListener, type GenerateStream, type ResumeCall
@@ -7,13 +7,13 @@
 import { Grant, type ClaimRequest } from 'foxtaillever-fleet'
 import { VirtualClock } from 'foxtaillever-testing'
 import { Left, Right, type Either } from 'purify-ts'
-import type { Claims } from '../claimDesk.js'
+import type { Claims } from '../claims.js'
 import { Invariants } from '../invariants.js'
 import type { Responder, Submission } from '../request.js'
 import { RouterCore } from '../routerCore.js'
 
 /** One connection that the core opened. */
-export interface Opened {
+export interface OpenedConnection {
   readonly server: string
   readonly call: GenerateCall | ResumeCall
   readonly isResume: boolean
@@ -22,10 +22,10 @@
 
 export class CoreRig {
   readonly clock = VirtualClock.create()
-  readonly opened: Opened[] = []
+  readonly opened: OpenedConnection[] = []
   readonly cancelled: string[] = []
-  readonly settled: Verdict[] = []
-  /** What the log answers to a claim. */
+  readonly recordedOutcomes: Verdict[] = []
+  /** Answer of the log to a claim. */
   claimResult: (request: ClaimRequest) => Either<Failure, Grant> = request => Right(Grant.create(request, 1, request.deadline))
   readonly core: RouterCore
 
@@ -33,7 +33,7 @@
     const claims: Claims = {
       claim: request => Promise.resolve(this.claimResult(request)),
       cancel: () => {},
-      settle: (_, verdict) => { this.settled.push(verdict) }
+      settle: (_, verdict) => { this.recordedOutcomes.push(verdict) }
     }
     this.core = RouterCore.create({
       clock: this.clock,
@@ -44,7 +44,7 @@
       invariants: Invariants.create({ isFatal: true, onViolation: () => {} })
     })
     this.core.configure(configurationOf(servers))
-    this.core.observeList(servers.map(name => ({ name, kind: ListedKind.BackendServer, address: name, failureDomain: 'recife', state: ListedState.Live })))
+    this.core.applyInstanceList(servers.map(name => ({ name, kind: ListedKind.BackendServer, address: name, failureDomain: 'recife', state: ListedState.Live })))
     this.core.start()
   }
 
@@ -65,8 +65,8 @@
     }
   }
 
-  /** The connection opened last. */
-  last (): Opened {
+  /** The connection that was opened last. */
+  lastOpened (): OpenedConnection {
     const opened = this.opened.at(-1)
     if (!opened) {
       throw new Error('Nothing was sent.')
@@ -74,8 +74,8 @@
     return opened
   }
 
-  submit (id: string, changes: Partial<Submission['job']> = {}): Caller {
-    const caller = new Caller()
+  submit (id: string, changes: Partial<Submission['job']> = {}): RecordingCaller {
+    const caller = new RecordingCaller()
     const prompt = createTextPrompt(`order of ${id}`)
     this.core.submit({
       prompt,
@@ -100,36 +100,36 @@
     return caller
   }
 
-  async pass (milliseconds = 30): Promise<void> {
+  async advance (milliseconds = 30): Promise<void> {
     await this.clock.advanceBy(milliseconds)
   }
 }
 
-/** Writes down what a caller gets. */
-export class Caller implements Responder {
-  readonly heard: string[] = []
+/** Records what a caller receives. */
+export class RecordingCaller implements Responder {
+  readonly received: string[] = []
   failure: Failure | undefined
 
   started (): void {
-    this.heard.push('started')
+    this.received.push('started')
   }
 
   moved (): void {
-    this.heard.push('moved')
+    this.received.push('moved')
   }
 
   token (sequence: number): boolean {
-    this.heard.push(`token ${sequence}`)
+    this.received.push(`token ${sequence}`)
     return true
   }
 
   finished (): void {
-    this.heard.push('finished')
+    this.received.push('finished')
   }
 
   failed (failure: Failure): void {
     this.failure = failure
-    this.heard.push(`${failure.code} ${failure.verdict}`)
+    this.received.push(`${failure.code} ${failure.verdict}`)
   }
 }
 
@@ -141,8 +141,8 @@
   return { finishReason: 'length', promptTokens: 4, cachedTokens: 0, completionTokens: tokens }
 }
 
-export const lost = Failure.create(FailureCode.ConnectionLost, Verdict.MayHaveRun, 'The connection was lost.')
-export const refused = Failure.notRun(FailureCode.ConnectionRefused, 'The connection was refused.')
+export const connectionLost = Failure.create(FailureCode.ConnectionLost, Verdict.MayHaveRun, 'The connection was lost.')
+export const connectionRefused = Failure.notRun(FailureCode.ConnectionRefused, 'The connection was refused.')
 export const unknownStream = Failure.create(FailureCode.StreamBroken, Verdict.MayHaveRun, 'No such stream.')
 
 export function configurationOf (servers: readonly string[]): Configuration {
--- a/packages/foxtaillever-router/src/core/attempts.ts
+++ b/packages/foxtaillever-router/src/core/attemptRunner.ts
@@ -1,8 +1,8 @@
 /**
- * Tries of requests at engines: sends, takes broken streams up again, and
- * checks every word of an engine before it reaches the caller. An event may be
- * lost, repeated, late or another request's; only the next token in order, of
- * the stream that was asked for, is passed on.
+ * Runs attempts of requests at engines: sends them, resumes broken streams and
+ * checks each event before it reaches the caller. An event may be lost,
+ * repeated, late or belong to another request; only the next token in order of
+ * the requested stream is passed on.
  */
 import {
   Failure, FailureCode, Verdict,
@@ -11,22 +11,22 @@
 import { Invariant, type Invariants } from './invariants.js'
 import { RequestState, type RequestRow, type StreamPosition } from './request.js'
 import { Safeguard, type Safeguards } from './safeguards.js'
-import type { ServerWords } from './serverWords.js'
+import type { ServerReports } from './serverReports.js'
 
-/** What the router does about a try. */
+/** Receives what happens to an attempt. */
 export interface AttemptListener {
-  /** The engine has begun to answer, for the first time or again. */
+  /** The engine began to answer, for the first time or after a resume. */
   started: (row: RequestRow, start: StreamStart) => void
   token: (row: RequestRow, sequence: number, data: string) => void
   finished: (row: RequestRow, end: StreamEnd) => void
-  /** The try is over; the failure's verdict is that of this try alone. */
-  over: (row: RequestRow, failure: Failure) => void
+  /** The attempt failed; the verdict of the failure covers this attempt only. */
+  ended: (row: RequestRow, failure: Failure) => void
 }
 
-export interface AttemptOptions {
+export interface AttemptRunnerOptions {
   readonly clock: Clock
   readonly engineOf: (server: BackendServer) => Engine
-  readonly words: ServerWords
+  readonly serverReports: ServerReports
   readonly invariants: Invariants
   readonly safeguards: Safeguards
   readonly listener: AttemptListener
@@ -39,36 +39,36 @@
   hasStarted: boolean
 }
 
-/** An idempotent request goes on elsewhere soon; the other kind can only hope for its engine. */
+/** An idempotent request soon moves to another server; a non-idempotent one can only be resumed at its engine. */
 const RESUMES_IDEMPOTENT = 1
 const RESUMES_NON_IDEMPOTENT = 4
 
-/** Pause before each further resume, milliseconds; the first is made at once. */
+/** Added to the delay before each further resume, milliseconds; the first is immediate. */
 const RESUME_PAUSE_MS = 200
 
-/** Failures after which the engine may still have the stream. */
+/** Failures after which the engine may still hold the stream. */
 const resumable = new Set([FailureCode.ConnectionLost, FailureCode.ConnectionRefused, FailureCode.StreamBroken])
 
-export class Attempts {
-  private constructor (private readonly options: AttemptOptions) {}
+export class AttemptRunner {
+  private constructor (private readonly options: AttemptRunnerOptions) {}
 
-  static create (options: AttemptOptions): Attempts {
-    return new Attempts(options)
+  static create (options: AttemptRunnerOptions): AttemptRunner {
+    return new AttemptRunner(options)
   }
 
-  /** Sends the request to the backend server, after what the caller already has. */
+  /** Sends the request to the backend server, continuing after the tokens that the caller already has. */
   begin (row: RequestRow, server: BackendServer, model: Model | undefined): void {
-    const { words, invariants, safeguards } = this.options
-    invariants.check(Invariant.NothingForLeaving, !words.hasSaidLeaving(server.name), () => `${row.submission.job.id} to ${server.name}`)
+    const { serverReports, invariants, safeguards } = this.options
+    invariants.check(Invariant.NothingForLeaving, !serverReports.hasReportedLeaving(server.name), () => `${row.submission.job.id} to ${server.name}`)
     row.state = RequestState.Sent
     row.server = server.name
-    row.tries += 1
-    // The first try bears the caller's id; later ones differ, so that a late cancel cannot hit them.
-    row.engineId = row.tries === 1 ? row.submission.job.id : `${row.submission.job.id}.${row.tries}`
+    row.attempts += 1
+    // The first attempt uses the job's id; later ones differ, so that a late cancel cannot hit them.
+    row.engineId = row.attempts === 1 ? row.submission.job.id : `${row.submission.job.id}.${row.attempts}`
     row.isSent = false
     row.start = undefined
     row.resumes = 0
-    row.expected = safeguards[Safeguard.IncarnationCheck] ? words.incarnationOf(server.name) : ''
+    row.expected = safeguards[Safeguard.IncarnationCheck] ? serverReports.incarnationOf(server.name) : ''
     const engine = this.options.engineOf(server)
     const call = this.createCall(row, model)
     this.connect(row, engine, false, listener => engine.generate(call, listener))
@@ -91,8 +91,8 @@
     }
   }
 
-  /** Takes up a stream that another instance, or an earlier connection, began. */
-  takeUp (row: RequestRow, server: BackendServer, position: StreamPosition): void {
+  /** Resumes a stream that was begun through another instance or an earlier connection. */
+  resumeStream (row: RequestRow, server: BackendServer, position: StreamPosition): void {
     row.server = position.server
     row.engineId = position.requestId
     row.state = RequestState.Sent
@@ -105,9 +105,9 @@
     this.resume(row, this.options.engineOf(server))
   }
 
-  /** Nobody reads the stream any more; the engine goes on only for a caller that may come back. */
-  leave (row: RequestRow, mayComeBack: boolean): void {
-    if (mayComeBack) {
+  /** The caller has disconnected; the engine continues only if the caller may resume the stream. */
+  release (row: RequestRow, mayResume: boolean): void {
+    if (mayResume) {
       row.stream?.detach()
       return
     }
@@ -139,7 +139,7 @@
     })
   }
 
-  /** Right before the first byte: the deadline is looked at again, and the claim. */
+  /** Checks the deadline and the claim again, right before the first byte is sent. */
   private onSent (row: RequestRow, connection: Connection): boolean {
     const { clock, safeguards, invariants } = this.options
     const { job } = row.submission
@@ -161,11 +161,11 @@
   }
 
   private onStarted (row: RequestRow, engine: Engine, connection: Connection, start: StreamStart): void {
-    const { words, clock, listener } = this.options
-    words.observeIncarnation(row.server, start.incarnation, clock.now())
+    const { serverReports, clock, listener } = this.options
+    serverReports.recordIncarnation(row.server, start.incarnation, clock.now())
     if (!this.isExpected(row, connection, start)) {
       row.stream?.detach()
-      this.endTry(row, engine, Failure.create(FailureCode.Stale, Verdict.Ran, 'The backend server restarted or changed its weights; the stream is not the same.'))
+      this.endAttempt(row, engine, Failure.create(FailureCode.Stale, Verdict.Ran, 'The backend server restarted or changed its weights; the stream cannot be resumed.'))
       return
     }
     connection.hasStarted = true
@@ -191,7 +191,7 @@
     const { safeguards, invariants, listener } = this.options
     const isNext = sequence === row.delivered + 1
     if (safeguards[Safeguard.SequenceCheck] && !isNext) {
-      // The caller has a repeated event already; after a gap the rest would be a cut answer.
+      // The caller already has a repeated event. After a gap, the rest would make an incomplete answer.
       if (sequence > row.delivered) {
         row.stream?.detach()
         this.onFailed(row, engine, connection, Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The engine\'s stream lost an event.'))
@@ -206,18 +206,18 @@
 
   private onFinished (row: RequestRow, engine: Engine, connection: Connection, end: StreamEnd): void {
     const { safeguards, invariants, listener } = this.options
-    const isWhole = end.completionTokens === row.delivered
-    if (safeguards[Safeguard.SequenceCheck] && !isWhole) {
-      this.onFailed(row, engine, connection, Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The engine\'s stream ended short.'))
+    const isComplete = end.completionTokens === row.delivered
+    if (safeguards[Safeguard.SequenceCheck] && !isComplete) {
+      this.onFailed(row, engine, connection, Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The engine\'s stream ended before its last token.'))
       return
     }
-    invariants.check(Invariant.AnswerWhole, isWhole, () => `${row.submission.job.id}: ${row.delivered} of ${end.completionTokens}`)
+    invariants.check(Invariant.AnswerComplete, isComplete, () => `${row.submission.job.id}: ${row.delivered} of ${end.completionTokens}`)
     listener.finished(row, end)
   }
 
   private onFailed (row: RequestRow, engine: Engine, connection: Connection, failure: Failure): void {
     if (!this.canResume(row, connection, failure)) {
-      this.endTry(row, engine, failure)
+      this.endAttempt(row, engine, failure)
       return
     }
     row.epoch += 1
@@ -233,28 +233,28 @@
 
   private canResume (row: RequestRow, connection: Connection, failure: Failure): boolean {
     const limit = row.submission.job.idempotent ? RESUMES_IDEMPOTENT : RESUMES_NON_IDEMPOTENT
-    // The engine answered the resume itself: it does not know the stream.
+    // The engine itself refused the resume: it does not know the stream.
     const isGone = connection.isResume && !connection.hasStarted && failure.code === FailureCode.StreamBroken
     return row.start !== undefined && !isGone && row.resumes < limit && resumable.has(failure.code)
   }
 
-  private endTry (row: RequestRow, engine: Engine, failure: Failure): void {
+  private endAttempt (row: RequestRow, engine: Engine, failure: Failure): void {
     row.epoch += 1
     row.stream = undefined
-    const verdict = this.verdictOfTry(row, failure)
+    const verdict = this.verdictOfAttempt(row, failure)
     row.isSent = false
     row.start = undefined
     if (verdict === Verdict.NotRun) {
       row.grant?.giveBack()
       row.isUnproven = row.verdict !== Verdict.NotRun
     } else if (row.submission.job.idempotent) {
-      // It may still be at work there, for nobody.
+      // The engine may still be computing an answer that nobody will read.
       engine.cancel(row.engineId)
     }
-    this.options.listener.over(row, failure.withVerdict(verdict))
+    this.options.listener.ended(row, failure.withVerdict(verdict))
   }
 
-  private verdictOfTry (row: RequestRow, failure: Failure): Verdict {
+  private verdictOfAttempt (row: RequestRow, failure: Failure): Verdict {
     if (row.start) {
       return Verdict.Ran
     }
@@ -262,7 +262,7 @@
   }
 }
 
-/** The server only refused an old incarnation: it is asked again, expecting none, and no retry is spent. */
-export function isMerelyRestarted (row: RequestRow, failure: Failure): boolean {
+/** Whether the server refused only because it has restarted; the request is sent again without an expected incarnation, at no cost to the retry budget. */
+export function isIncarnationMismatch (row: RequestRow, failure: Failure): boolean {
   return failure.code === FailureCode.Stale && failure.verdict === Verdict.NotRun && row.expected !== ''
 }
--- a/packages/foxtaillever-router/src/core/claimStep.ts
+++ b/packages/foxtaillever-router/src/core/claimStep.ts
@@ -1,10 +1,11 @@
 /**
- * The step between assignment and sending for requests that run at most once:
- * the claim is made first, and much may change while it is on its way.
+ * The step between assignment and sending for requests that run at most once.
+ * The claim is written to the log first; meanwhile the caller may leave or the
+ * server may be removed.
  */
 import { Verdict, type Failure } from 'foxtaillever-core'
 import type { Grant } from 'foxtaillever-fleet'
-import { createClaim, type Claims } from './claimDesk.js'
+import { createClaim, type Claims } from './claims.js'
 import { RequestState, type RequestRow } from './request.js'
 
 export interface ClaimStepOptions {
@@ -41,7 +42,7 @@
   }
 
   private onGranted (row: RequestRow, grant: Grant, server: string): void {
-    // The caller left while the claim was on its way: nothing was sent under it.
+    // The caller left while the claim was being written: nothing was sent under it.
     if (row.state !== RequestState.Claiming) {
       this.options.claims.settle(grant, Verdict.NotRun)
       return
--- a/packages/foxtaillever-router/src/core/claimDesk.ts
+++ b/packages/foxtaillever-router/src/core/claims.ts
@@ -1,6 +1,6 @@
 /**
- * Claims of the router's non-idempotent requests: what each needs to be
- * claimed, and who may be refused before the log is asked.
+ * Claims of non-idempotent requests: builds the claim of a request, and refuses
+ * a request that can never be claimed before the log is queried.
  */
 import { createHash } from 'node:crypto'
 import { Failure, FailureCode, type Verdict } from 'foxtaillever-core'
@@ -8,34 +8,34 @@
 import { Left, Maybe, Right, type Either } from 'purify-ts'
 import type { Submission } from './request.js'
 
-/** The part of the claim keeper that the router needs. */
+/** Makes claims in the log and records their outcomes. */
 export interface Claims {
   claim: (request: ClaimRequest) => Promise<Either<Failure, Grant>>
   cancel: (requestId: string) => void
   settle: (grant: Grant, verdict: Verdict) => void
 }
 
-/** Digest of all that makes the request; the same key with another one is refused. */
+/** Digest of everything that defines the request; a key that is reused with another digest is refused. */
 export function digestSubmission ({ path, body }: Submission): string {
   return createHash('sha256').update(path).update('\0').update(JSON.stringify(body)).digest('hex').slice(0, 32)
 }
 
-/** What is to run at most once, as its claim needs it. */
+/** A request or call that may run at most once, with what its claim needs. */
 export interface Claimable extends Pick<ClaimRequest, 'requestId' | 'digest' | 'deadline'> {
-  /** As a refusal names it, such as "non-idempotent request". */
+  /** Name used in refusals, such as "non-idempotent request". */
   readonly name: string
   readonly account: string
   readonly idempotencyKey: string
 }
 
-function undated (name: string): Failure {
+function missingCreationTime (name: string): Failure {
   return Failure.notRun(FailureCode.BadRequest,
     `The idempotency key of a ${name} must carry its creation time: a UUID of version 7, or milliseconds of Unix time, a hyphen and any text.`)
 }
 
-/** The claim under the key, or why it cannot be claimed. */
+/** Creates the claim for the idempotency key, or says why there can be none. */
 export function createDatedClaim ({ name, account, idempotencyKey, requestId, digest, deadline }: Claimable): Either<Failure, ClaimRequest> {
-  return readKeyCreation(idempotencyKey).toEither(undated(name)).map(createdAt => ({
+  return readKeyCreation(idempotencyKey).toEither(missingCreationTime(name)).map(createdAt => ({
     key: claimKey(account, idempotencyKey),
     requestId,
     digest,
@@ -44,13 +44,13 @@
   }))
 }
 
-/** The claim of a request, or why it cannot be claimed. */
+/** Creates the claim of a request, or says why there can be none. */
 export function createClaim (submission: Submission): Either<Failure, ClaimRequest> {
   const { job: { id, account, deadline }, idempotencyKey } = submission
   return createDatedClaim({ name: 'non-idempotent request', account, idempotencyKey, requestId: id, digest: digestSubmission(submission), deadline })
 }
 
-/** Refuses at once what could never be claimed. */
+/** Refuses a request that could never be claimed. */
 export function checkClaimable (submission: Submission, claims: Claims | undefined): Either<Failure, void> {
   if (submission.job.idempotent) {
     return Right(undefined)
--- a/packages/foxtaillever-router/src/core/invariants.ts
+++ b/packages/foxtaillever-router/src/core/invariants.ts
@@ -1,22 +1,22 @@
 /**
- * What must always hold, asserted where it could break. A check costs a
- * comparison and a counter, so it stays on; a violation is counted and told,
- * and in tests it ends the run.
+ * Invariants, checked where they could break. A check costs a comparison and a
+ * counter, so it is always on. A violation is counted and reported; in tests it
+ * throws.
  */
 export enum Invariant {
-  /** "Not run" is told only when no sending is without proof. */
+  /** "Not run" is reported only if it is proven for every byte that was sent. */
   NotRunProven = 'not_run_proven',
   /** A non-idempotent request is sent only under its claim. */
   ClaimedBeforeSend = 'claimed_before_send',
-  /** A caller gets each token once and in order. */
+  /** A caller receives each token once and in order. */
   TokensInOrder = 'tokens_in_order',
-  /** An answer ends as complete only when all its tokens were handed on. */
-  AnswerWhole = 'answer_whole',
-  /** A request gets one last word. */
-  OneLastWord = 'one_last_word',
+  /** An answer ends as complete only after all its tokens were passed on. */
+  AnswerComplete = 'answer_whole',
+  /** A request gets exactly one outcome. */
+  SingleOutcome = 'one_last_word',
   /** One answer comes from one version of the weights. */
   SameWeights = 'same_weights',
-  /** A stream is taken up again only at the engine that began it. */
+  /** A stream is resumed only at the engine that began it. */
   SameStream = 'same_stream',
   /** A backend server known to leave gets no new work. */
   NothingForLeaving = 'nothing_for_leaving'
@@ -46,7 +46,7 @@
     return new Invariants(options)
   }
 
-  /** The detail is a function, since it is needed only when things are wrong. */
+  /** @param detail a function, so that the text is built only for a violation. */
   check (invariant: Invariant, holds: boolean, detail: () => string): void {
     const count = this.counts.get(invariant)
     if (count) {
--- a/packages/foxtaillever-router/src/core/loop.ts
+++ b/packages/foxtaillever-router/src/core/loop.ts
@@ -1,23 +1,22 @@
 /**
- * The one loop of the process. Systems run over the tables, in their order, at
- * each tick; a tick follows soon after something happened and in any case when
- * the next stored instant is due.
+ * The main loop of the process. At each tick the systems run over the tables, in
+ * order. A tick follows soon after an event, and otherwise at a fixed interval.
  */
 import type { Cancellation, Clock } from 'foxtaillever-core'
 
-/** Something that runs over the tables at each tick. */
+/** A function that processes the tables at each tick. */
 export type System = (now: number) => void
 
-/** While there is work, deadlines are looked at this often, milliseconds. */
+/** Interval at which deadlines are checked while there is work, milliseconds. */
 const BUSY_TICK_MS = 20
 
-/** Without any, only what is known of backend servers grows older, milliseconds. */
+/** Interval without work, milliseconds; then only the age of the backend servers' data changes. */
 const IDLE_TICK_MS = 250
 
 export interface LoopOptions {
   readonly clock: Clock
   readonly systems: readonly System[]
-  /** Whether anything in the tables may become due. */
+  /** Whether an entry of the tables may become due. */
   readonly isBusy: () => boolean
 }
 
@@ -32,7 +31,7 @@
     return new Loop(options)
   }
 
-  /** Asks for a tick in the next turn; any number of calls make one tick. */
+  /** Requests a tick as soon as possible; several calls lead to one tick. */
   wake (): void {
     if (this.awake || this.stopped) {
       return
@@ -60,7 +59,7 @@
     const { clock, systems, isBusy } = this.options
     const now = clock.now()
     systems.forEach(system => system(now))
-    // A system may have asked for another tick.
+    // A system may have requested another tick.
     if (!this.awake && !this.stopped) {
       this.schedule(clock.now() + (isBusy() ? BUSY_TICK_MS : IDLE_TICK_MS))
     }
--- a/packages/foxtaillever-router/src/core/request.ts
+++ b/packages/foxtaillever-router/src/core/request.ts
@@ -1,57 +1,57 @@
 /**
- * The entity of the request table: one accepted request until its answer is
- * complete or its failure is told.
+ * A row of the request table: one accepted request, until its answer is complete
+ * or its failure is reported.
  */
 import { Verdict, type EnginePath, type Failure, type GenerateStream, type Prompt, type StreamEnd, type StreamStart } from 'foxtaillever-core'
 import type { Grant } from 'foxtaillever-fleet'
 import type { Job } from 'foxtaillever-policy'
 
 export enum RequestState {
-  /** Waits for a backend server; nothing has left. */
+  /** Waits for a backend server; nothing has been sent. */
   Waiting = 'waiting',
   /** Assigned; its claim is being written to the log. */
   Claiming = 'claiming',
-  /** Handed to a backend server; no event has come back. */
+  /** Sent to a backend server; no event has been received. */
   Sent = 'sent',
   /** The backend server has begun to answer. */
   Streaming = 'streaming',
   Done = 'done'
 }
 
-/** Where a caller that was cut off takes its stream up again. */
+/** Where a disconnected caller resumes its stream. */
 export interface StreamPosition {
   readonly server: string
   readonly incarnation: string
   readonly weightsVersion: string
   readonly streamId: string
-  /** Id of the try at the engine. */
+  /** Id of the attempt at the engine. */
   readonly requestId: string
-  /** Tokens that the caller has. */
+  /** Number of tokens that the caller has. */
   readonly after: number
 }
 
-/** Receives the answer on the caller's behalf; exactly one of finished and failed comes last. */
+/** Receives the answer on the caller's behalf; the last call is exactly one of finished and failed. */
 export interface Responder {
-  /** @param position where the stream can be taken up again. */
+  /** @param position where the stream can be resumed. */
   started: (start: StreamStart, position: StreamPosition) => void
-  /** The answer goes on from another backend server. */
+  /** The answer continues from a new stream or connection. */
   moved?: (position: StreamPosition) => void
   /**
    * @param sequence 1 for the first token of the whole answer.
-   * @returns false when the caller reads too slowly and the engine must be held back.
+   * @returns false when the caller reads too slowly and the engine must be paused.
    */
   token: (sequence: number, data: string) => boolean
   finished: (end: StreamEnd) => void
   failed: (failure: Failure) => void
 }
 
-/** What a caller hands in, checked. */
+/** A validated request of a caller. */
 export interface Submission {
   readonly job: Job
   readonly prompt: Prompt
   readonly path: EnginePath.Completions | EnginePath.ChatCompletions
   readonly body: Readonly<Record<string, unknown>>
-  /** Empty when the caller named none. */
+  /** Empty when the caller gave none. */
   readonly idempotencyKey: string
 }
 
@@ -59,34 +59,34 @@
 export interface RequestRow {
   readonly submission: Submission
   readonly responder: Responder
-  /** Whether the scheduler knows of it; a stream taken up again is not scheduled. */
+  /** Whether the scheduler has the job; a resumed stream is not scheduled. */
   readonly isScheduled: boolean
   state: RequestState
-  /** Counts connections; a word from an earlier one is dropped. */
+  /** Counts connections; an event from an earlier one is dropped. */
   epoch: number
-  /** Counts tries; each has its own id at the engine, so that a late cancel hits no later try. */
-  tries: number
+  /** Counts attempts; each has its own id at the engine, so that a late cancel hits no later attempt. */
+  attempts: number
   server: string
-  /** Id of the present try at the engine. */
+  /** Id of the current attempt at the engine. */
   engineId: string
   stream: GenerateStream | undefined
-  /** Whether a byte of the present try may have left. */
+  /** Whether a byte of the current attempt may have been sent. */
   isSent: boolean
-  /** Whether some byte left for which no proof came that nothing ran. */
+  /** Whether something was sent without later proof that it did not run. */
   isUnproven: boolean
-  /** The present try's start. */
+  /** Start of the current attempt's stream. */
   start: StreamStart | undefined
-  /** Incarnation at which the present stream must be. */
+  /** Incarnation that must serve the current stream; empty when any may. */
   expected: string
-  /** Resumes of the present stream since its last token. */
+  /** Resumes of the current stream since its last token. */
   resumes: number
-  /** Of all tries that are over, taken together. */
+  /** Worst verdict of all earlier attempts. */
   verdict: Verdict
-  /** Weights that gave the tokens so far; empty before the first. */
+  /** Weights version that the answer uses; empty before it starts. */
   weightsVersion: string
-  /** Whether the caller was told that an answer began. */
+  /** Whether the start of the answer was reported to the caller. */
   isAnswering: boolean
-  /** Tokens handed to the caller over all tries. */
+  /** Tokens passed to the caller over all attempts. */
   delivered: number
   grant: Grant | undefined
 }
@@ -98,7 +98,7 @@
     isScheduled,
     state: RequestState.Waiting,
     epoch: 0,
-    tries: 0,
+    attempts: 0,
     server: '',
     engineId: '',
     stream: undefined,
@@ -115,7 +115,7 @@
   }
 }
 
-/** Where the stream that has just started, or started again, can be taken up. */
+/** Where the stream that has just started or resumed can be resumed later. */
 export function positionOf (row: RequestRow, { streamId, incarnation, weightsVersion }: StreamStart): StreamPosition {
   return { server: row.server, streamId, incarnation, weightsVersion, requestId: row.engineId, after: row.delivered }
 }
--- a/packages/foxtaillever-router/src/core/requestTable.ts
+++ b/packages/foxtaillever-router/src/core/requestTable.ts
@@ -1,10 +1,10 @@
 /**
- * The table of requests and how each leaves it: with one last word, whose
- * verdict covers all its tries, and with its claim settled.
+ * The table of requests. Each request leaves it with exactly one outcome, whose
+ * verdict covers all its attempts and is recorded for its claim.
  */
 import { Verdict, type Failure } from 'foxtaillever-core'
 import type { RequestObserver } from '../telemetry/requestObserver.js'
-import type { Claims } from './claimDesk.js'
+import type { Claims } from './claims.js'
 import { Invariant, type Invariants } from './invariants.js'
 import { RequestState, type RequestRow } from './request.js'
 import { worseVerdict } from './worseVerdict.js'
@@ -13,7 +13,7 @@
   readonly claims: Claims
   readonly invariants: Invariants
   readonly observer: RequestObserver
-  /** Is told that a place has become free. */
+  /** Called when a request has left the table. */
   readonly onClosed: () => void
 }
 
@@ -42,7 +42,7 @@
     this.rows.set(row.submission.job.id, row)
   }
 
-  /** What may have been done for the request until now, the present try included. */
+  /** Verdict on everything done for the request until now, the current attempt included. */
   verdictOf (row: RequestRow): Verdict {
     if (row.start || row.delivered > 0) {
       return Verdict.Ran
@@ -50,11 +50,11 @@
     return worseVerdict(row.verdict, row.isSent && row.state !== RequestState.Waiting ? Verdict.MayHaveRun : Verdict.NotRun)
   }
 
-  /** Takes the request out; its claim is settled with the verdict. */
+  /** Removes the request; the verdict is recorded as the outcome of its claim. */
   close (row: RequestRow, verdict: Verdict): void {
     const { claims, invariants, onClosed } = this.options
     const { id } = row.submission.job
-    invariants.check(Invariant.OneLastWord, row.state !== RequestState.Done, () => id)
+    invariants.check(Invariant.SingleOutcome, row.state !== RequestState.Done, () => id)
     if (row.state === RequestState.Claiming) {
       claims.cancel(id)
     }
@@ -67,19 +67,19 @@
   }
 
   /**
-   * The last word: what any try may have done counts, not only the last one.
+   * Fails the request with the worst verdict of all its attempts, not only of the last one.
    * @param rule name of the rule that refused, where there is one.
    */
   fail (row: RequestRow, failure: Failure, rule: string = failure.code): void {
     const verdict = worseVerdict(row.verdict, failure.verdict)
-    const told = failure.withVerdict(verdict)
+    const reported = failure.withVerdict(verdict)
     this.options.invariants.check(Invariant.NotRunProven, verdict !== Verdict.NotRun || !row.isUnproven, () => row.submission.job.id)
     this.close(row, verdict)
-    this.observe(row, told, rule)
-    row.responder.failed(told)
+    this.notifyObserver(row, reported, rule)
+    row.responder.failed(reported)
   }
 
-  private observe (row: RequestRow, failure: Failure, rule: string): void {
+  private notifyObserver (row: RequestRow, failure: Failure, rule: string): void {
     const { observer } = this.options
     if (failure.verdict === Verdict.NotRun) {
       observer.refused(row.submission.job, rule, failure)
--- a/packages/foxtaillever-router/src/core/routerCore.ts
+++ b/packages/foxtaillever-router/src/core/routerCore.ts
@@ -1,15 +1,15 @@
 /**
- * The router without its sockets: a table of requests, the systems that run
- * over it at each tick, and the words of engines that change it. Everything
- * outside is passed in, so the same code runs under a test's clock.
+ * The router without its sockets: a table of requests, the systems that process
+ * it at each tick, and the handlers of engine events that change it. All
+ * dependencies are passed in, so the same code runs under a virtual clock.
  */
 import {
   Failure, FailureCode, ListedKind, Verdict,
   type Configuration, type ListedInstance, type LoadReport, type StreamEnd, type StreamStart
 } from 'foxtaillever-core'
 import { Scheduler, Sequel, type Assignment, type Refusal } from 'foxtaillever-policy'
-import { Attempts, isMerelyRestarted } from './attempts.js'
-import { checkClaimable, noClaims } from './claimDesk.js'
+import { AttemptRunner, isIncarnationMismatch } from './attemptRunner.js'
+import { checkClaimable, noClaims } from './claims.js'
 import { ClaimStep } from './claimStep.js'
 import { Invariants } from './invariants.js'
 import { noObserver, type RequestObserver } from '../telemetry/requestObserver.js'
@@ -18,18 +18,18 @@
 import { RequestTable } from './requestTable.js'
 import { allSafeguards, Safeguard, type Safeguards } from './safeguards.js'
 import type { RouterCoreOptions, RouterCoreState } from './routerCoreOptions.js'
-import { ServerWords } from './serverWords.js'
+import { ServerReports } from './serverReports.js'
 import { worseVerdict } from './worseVerdict.js'
 
 export class RouterCore {
   readonly invariants: Invariants
   private readonly requests: RequestTable
   private readonly claimStep: ClaimStep
-  /** Open to the exchange of soft state with other instances. */
+  /** Public for the sharing of soft state with other instances. */
   readonly scheduler: Scheduler
   private readonly loop: Loop
-  private readonly words: ServerWords
-  private readonly attempts: Attempts
+  private readonly serverReports: ServerReports
+  private readonly attempts: AttemptRunner
   private readonly safeguards: Safeguards
   private readonly observer: RequestObserver
   private configuration: Configuration | undefined
@@ -52,19 +52,19 @@
         this.requests.fail(row, failure)
       }
     })
-    this.words = ServerWords.create(this.safeguards[Safeguard.AtOnceDrain])
+    this.serverReports = ServerReports.create(this.safeguards[Safeguard.AtOnceDrain])
     this.scheduler = Scheduler.create({ random, failureDomain, distancesMs })
-    this.attempts = Attempts.create({
+    this.attempts = AttemptRunner.create({
       clock,
       engineOf,
-      words: this.words,
+      serverReports: this.serverReports,
       invariants: this.invariants,
       safeguards: this.safeguards,
       listener: {
         started: (row, start) => this.onStarted(row, start),
         token: (row, sequence, data) => this.onToken(row, sequence, data),
         finished: (row, end) => this.onFinished(row, end),
-        over: (row, failure) => this.onTryOver(row, failure)
+        ended: (row, failure) => this.onAttemptEnded(row, failure)
       }
     })
     this.loop = Loop.create({
@@ -97,26 +97,26 @@
     this.loop.wake()
   }
 
-  observeList (instances: readonly ListedInstance[]): void {
+  applyInstanceList (instances: readonly ListedInstance[]): void {
     for (const { name, state } of instances.filter(({ kind }) => kind === ListedKind.BackendServer)) {
-      this.words.observeListed(name, state)
-      this.tellState(name)
+      this.serverReports.recordListedState(name, state)
+      this.updateSchedulerState(name)
     }
     this.loop.wake()
   }
 
-  observeLoad (server: string, report: LoadReport): void {
+  applyLoadReport (server: string, report: LoadReport): void {
     const now = this.options.clock.now()
-    this.words.observeLoad(server, report, now)
-    this.tellState(server)
+    this.serverReports.recordLoadReport(server, report, now)
+    this.updateSchedulerState(server)
     this.scheduler.observeLoad(server, report, now)
   }
 
-  private tellState (server: string): void {
-    this.scheduler.observeListed(server, this.words.stateOf(server), this.options.clock.now())
+  private updateSchedulerState (server: string): void {
+    this.scheduler.observeListed(server, this.serverReports.stateOf(server), this.options.clock.now())
   }
 
-  /** Takes a request in; every outcome, refusals too, goes to the responder. */
+  /** Accepts a request; every outcome, refusals included, goes to the responder. */
   submit (submission: Submission, responder: Responder): void {
     this.observer.arrived(submission.job)
     checkClaimable(submission, this.options.claims)
@@ -133,45 +133,45 @@
       })
   }
 
-  /** Takes up a stream that a caller lost, perhaps begun through another instance. */
-  takeUp (submission: Submission, position: StreamPosition, responder: Responder): void {
+  /** Resumes a stream from which a caller was disconnected, perhaps begun through another instance. */
+  resumeStream (submission: Submission, position: StreamPosition, responder: Responder): void {
     const server = this.configuration?.servers[position.server]
     if (!server) {
-      responder.failed(Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The backend server of this stream is not there any more.'))
+      responder.failed(Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The backend server of this stream no longer exists.'))
       return
     }
     this.observer.arrived(submission.job)
     const row = createRow(submission, responder, false)
     this.requests.add(row)
-    this.attempts.takeUp(row, server, position)
+    this.attempts.resumeStream(row, server, position)
   }
 
-  /** The caller has gone: the engine's work is stopped, unless it may come back for it. */
-  abandon (jobId: string, mayComeBack = false): void {
+  /** The caller has disconnected: the engine's work is stopped, unless the caller may resume the stream. */
+  abandon (jobId: string, mayResume = false): void {
     const row = this.requests.find(jobId)
     if (!row) {
       return
     }
-    this.attempts.leave(row, mayComeBack)
+    this.attempts.release(row, mayResume)
     this.withdraw(row)
     this.observer.cancelled(row.submission.job, row.server)
     this.requests.close(row, this.requests.verdictOf(row))
   }
 
-  /** The caller reads again. */
-  drained (jobId: string): void {
+  /** The caller can receive again after backpressure. */
+  resumeReading (jobId: string): void {
     this.requests.find(jobId)?.stream?.resume()
   }
 
-  /** The stored deadline of a shutdown has come: what is left gets its last word. */
-  endAll (): void {
+  /** Fails all remaining requests when the deadline of a shutdown has come. */
+  failAll (): void {
     for (const row of [...this.requests.all()]) {
-      this.end(row, FailureCode.Leaving, 'This instance shut down before the answer was complete.')
+      this.endRequest(row, FailureCode.Leaving, 'This instance shut down before the answer was complete.')
     }
   }
 
-  /** Ends a request at whatever it has come to, with the verdict of all its tries. */
-  private end (row: RequestRow, code: FailureCode, message: string): void {
+  /** Fails a request in whatever state it is, with the verdict of all its attempts. */
+  private endRequest (row: RequestRow, code: FailureCode, message: string): void {
     row.stream?.cancel()
     this.withdraw(row)
     this.requests.fail(row, Failure.create(code, this.requests.verdictOf(row), message))
@@ -183,10 +183,10 @@
     }
   }
 
-  /** Requests past their deadline get their final answer now. */
+  /** Fails requests past their deadline. */
   private expire (now: number): void {
     const late = [...this.requests.all()].filter(({ submission }) => submission.job.deadline <= now)
-    late.forEach(row => this.end(row, FailureCode.DeadlinePassed, 'The deadline passed before the answer was complete.'))
+    late.forEach(row => this.endRequest(row, FailureCode.DeadlinePassed, 'The deadline passed before the answer was complete.'))
   }
 
   private dispatch (now: number): void {
@@ -217,16 +217,16 @@
     this.send(row, assignment.server)
   }
 
-  /** Things may have changed since the assignment, while the claim was made. */
+  /** Checks again that the server is still there: it may have changed while the claim was written. */
   private send (row: RequestRow, name: string): void {
     const server = this.configuration?.servers[name]
     row.server = name
     if (!server) {
-      this.onTryOver(row, Failure.notRun(FailureCode.NoBackendServer, 'The backend server was removed.'))
+      this.onAttemptEnded(row, Failure.notRun(FailureCode.NoBackendServer, 'The backend server was removed.'))
       return
     }
-    if (this.safeguards[Safeguard.AtOnceDrain] && this.words.hasSaidLeaving(name)) {
-      this.onTryOver(row, Failure.notRun(FailureCode.Leaving, 'The backend server is leaving.'))
+    if (this.safeguards[Safeguard.AtOnceDrain] && this.serverReports.hasReportedLeaving(name)) {
+      this.onAttemptEnded(row, Failure.notRun(FailureCode.Leaving, 'The backend server is leaving.'))
       return
     }
     this.attempts.begin(row, server, this.configuration?.models[row.submission.job.model])
@@ -236,7 +236,7 @@
     if (row.isScheduled) {
       this.scheduler.started(row.submission.job.id, start, this.options.clock.now())
     }
-    // Headers go out once, however many tries and resumes the answer takes.
+    // Headers are sent once, however many attempts and resumes the answer takes.
     const position = positionOf(row, start)
     if (!row.isAnswering) {
       row.isAnswering = true
@@ -251,7 +251,7 @@
     if (sequence === 1 && row.isScheduled) {
       this.observer.firstToken(row.submission.job, row.server)
       this.scheduler.firstToken(row.submission.job.id, this.options.clock.now())
-      // A prefill has ended; a job that was held back for it may go now.
+      // A prefill has ended; a job that waited for it may be sent now.
       this.loop.wake()
     }
     if (!row.responder.token(sequence, data)) {
@@ -268,14 +268,14 @@
     row.responder.finished(end)
   }
 
-  private onTryOver (row: RequestRow, failure: Failure): void {
+  private onAttemptEnded (row: RequestRow, failure: Failure): void {
     const now = this.options.clock.now()
     if (failure.code === FailureCode.Leaving) {
-      this.words.observeLeaving(row.server, now)
-      this.tellState(row.server)
+      this.serverReports.recordLeaving(row.server, now)
+      this.updateSchedulerState(row.server)
     }
-    if (isMerelyRestarted(row, failure)) {
-      this.words.forgetIncarnation(row.server)
+    if (isIncarnationMismatch(row, failure)) {
+      this.serverReports.forgetIncarnation(row.server)
       this.send(row, row.server)
       return
     }
@@ -290,7 +290,7 @@
     this.loop.wake()
   }
 
-  /** State for the dump, at one instant. */
+  /** State for the dump, all of the same moment. */
   dump (): RouterCoreState {
     return {
       inFlight: this.requests.size(),
--- a/packages/foxtaillever-router/src/core/routerCoreOptions.ts
+++ b/packages/foxtaillever-router/src/core/routerCoreOptions.ts
@@ -1,8 +1,8 @@
-/** What the router's core is given, and what it shows of itself. */
+/** Options of the router core and the state that it exposes. */
 import type { BackendServer, Clock, Engine, Random } from 'foxtaillever-core'
 import type { Scheduler } from 'foxtaillever-policy'
 import type { RequestObserver } from '../telemetry/requestObserver.js'
-import type { Claims } from './claimDesk.js'
+import type { Claims } from './claims.js'
 import type { Invariants } from './invariants.js'
 import type { Safeguards } from './safeguards.js'
 
@@ -12,14 +12,14 @@
   readonly failureDomain: string
   /** Finds the engine behind a backend server. */
   readonly engineOf: (server: BackendServer) => Engine
-  /** Claims of non-idempotent requests; without it none is sent. */
+  /** Claims of non-idempotent requests; without it they are refused. */
   readonly claims?: Claims
   readonly invariants?: Invariants
-  /** One way from this instance to other failure domains, milliseconds. */
+  /** One-way latency from this instance to other failure domains, milliseconds. */
   readonly distancesMs?: Readonly<Record<string, number>>
-  /** Is told what becomes of each request; without it nobody is. */
+  /** Notified of each step of each request. */
   readonly observer?: RequestObserver
-  /** Other than all of them in tests alone. */
+  /** All are on by default; only tests switch some off. */
   readonly safeguards?: Safeguards
 }
 
--- a/packages/foxtaillever-router/src/core/worseVerdict.ts
+++ b/packages/foxtaillever-router/src/core/worseVerdict.ts
@@ -1,4 +1,4 @@
-/** Verdicts of several tries taken together: the least harmless one counts. */
+/** Combines verdicts of several attempts: the worst one counts. */
 import { Verdict } from 'foxtaillever-core'
 
 const ranks: Record<Verdict, number> = {
@@ -7,6 +7,6 @@
   [Verdict.Ran]: 2
 }
 
-export function worseVerdict (one: Verdict, other: Verdict): Verdict {
-  return ranks[one] >= ranks[other] ? one : other
+export function worseVerdict (a: Verdict, b: Verdict): Verdict {
+  return ranks[a] >= ranks[b] ? a : b
 }
--- a/packages/foxtaillever-router/src/index.ts
+++ b/packages/foxtaillever-router/src/index.ts
@@ -1,6 +1,6 @@
-/** Public surface of the entry process. */
+/** Public interface of the entry process. */
 export * from './callers/accounts.js'
-export * from './core/claimDesk.js'
+export * from './core/claims.js'
 export * from './core/invariants.js'
 export * from './core/request.js'
 export * from './core/routerCore.js'
--- a/packages/foxtaillever-router/src/instance/__tests__/serverWatch.test.ts
+++ b/packages/foxtaillever-router/src/instance/__tests__/serverLoadMonitor.test.ts
@@ -5,7 +5,7 @@
 import { FactKind, MemberState, type Fact, type Member } from 'foxtaillever-fleet'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { Right } from 'purify-ts'
-import { ServerWatch } from '../serverWatch.js'
+import { ServerLoadMonitor } from '../serverLoadMonitor.js'
 
 const report: LoadReport = { incarnation: 'a', weightsVersion: 'v1', running: 8, waiting: 3, waitingTokens: 900, cacheTokensUsed: 5, leaving: false, madeAt: 1000 }
 
@@ -20,31 +20,31 @@
   return Array.from({ length: count }, (_, index) => ({ name: `entry-${index}`, address: '', controlAddress: '', failureDomain: '', incarnation: 1, state: MemberState.Alive, deadline: Infinity }))
 }
 
-/** Instances whose facts reach each other at once. */
-class WatchingFleet {
+/** Instances whose facts reach each other immediately. */
+class MonitoredFleet {
   readonly clock = VirtualClock.create()
-  /** Times that each engine was asked for its load. */
-  readonly asked = new Map<string, number>()
+  /** Number of load queries to each engine. */
+  readonly queryCounts = new Map<string, number>()
   readonly shared: Fact[] = []
   readonly observed = new Map<string, Set<string>>()
   private readonly listeners: Array<(fact: Fact) => void> = []
 
   private constructor (public members: Member[]) {
-    members.forEach(member => this.createWatch(member.name).start())
+    members.forEach(member => this.createMonitor(member.name).start())
   }
 
-  static create (count: number): WatchingFleet {
-    return new WatchingFleet(createMembers(count))
+  static create (count: number): MonitoredFleet {
+    return new MonitoredFleet(createMembers(count))
   }
 
-  private createWatch (name: string): ServerWatch {
+  private createMonitor (name: string): ServerLoadMonitor {
     const observed = new Set<string>()
     this.observed.set(name, observed)
-    return ServerWatch.create({
+    return ServerLoadMonitor.create({
       clock: this.clock,
       name,
       configuration: () => configuration,
-      core: { inFlight: () => this.members.some(member => member.name === name) ? 1 : 0, observeLoad: (server, load) => { load.waiting === report.waiting && observed.add(server) } },
+      core: { inFlight: () => this.members.some(member => member.name === name) ? 1 : 0, applyLoadReport: (server, load) => { load.waiting === report.waiting && observed.add(server) } },
       fleet: {
         members: () => this.members,
         onFact: listener => {
@@ -61,7 +61,7 @@
       engines: {
         of: server => ({
           load: async () => {
-            this.asked.set(server.name, (this.asked.get(server.name) ?? 0) + 1)
+            this.queryCounts.set(server.name, (this.queryCounts.get(server.name) ?? 0) + 1)
             return Right(report)
           }
         })
@@ -71,30 +71,30 @@
 }
 
 describe('the load of engines', () => {
-  it('is read by each of today\'s instances, and told by none', async t => {
-    const fleet = WatchingFleet.create(9)
+  it('is read by every instance of today\'s fleet and announced by none', async t => {
+    const fleet = MonitoredFleet.create(9)
     await fleet.clock.advanceBy(100)
-    t.deepEqual([...fleet.asked.values()], servers.map(() => 9))
+    t.deepEqual([...fleet.queryCounts.values()], servers.map(() => 9))
     t.is(fleet.shared.length, 0)
   })
 
-  it('is read by one of a larger fleet, which tells the others of a queue once a second', async t => {
-    const fleet = WatchingFleet.create(30)
+  it('is read by one instance of a larger fleet, which announces a queue once a second', async t => {
+    const fleet = MonitoredFleet.create(30)
     await fleet.clock.advanceBy(900)
-    t.true([...fleet.asked.values()].every(count => count === 2))
+    t.true([...fleet.queryCounts.values()].every(count => count === 2))
     t.deepEqual(fleet.shared.map(({ kind, key }) => `${kind}/${key}`).sort(), servers.map(({ name }) => `${FactKind.ServerLoad}/${name}`).sort())
     fleet.observed.forEach(seen => t.is(seen.size, servers.length))
   })
 
-  it('is read on when a watcher dies', async t => {
-    // The only instance that reads an engine is gone. Until another takes its
-    // place nobody sees the queue there, and callers are sent into it.
-    const fleet = WatchingFleet.create(30)
+  it('is read by another instance when the one that reads it dies', async t => {
+    // The only instance that reads an engine dies. Until another one takes over, no
+    // instance sees the engine's queue, and requests are sent into it.
+    const fleet = MonitoredFleet.create(30)
     await fleet.clock.advanceBy(100)
     const dead = fleet.shared[0]?.source
     fleet.members = fleet.members.filter(member => member.name !== dead)
-    fleet.asked.clear()
+    fleet.queryCounts.clear()
     await fleet.clock.advanceBy(900)
-    t.is(fleet.asked.size, servers.length)
+    t.is(fleet.queryCounts.size, servers.length)
   })
 })
--- a/packages/foxtaillever-router/src/instance/createEntryInstanceOptions.ts
+++ b/packages/foxtaillever-router/src/instance/createEntryInstanceOptions.ts
@@ -1,4 +1,4 @@
-/** What an entry instance is told at its start, from its settings. */
+/** Creates the options of an entry instance from its settings. */
 import { randomInt } from 'node:crypto'
 import type { Clock } from 'foxtaillever-core'
 import { Permission } from 'foxtaillever-fleet'
@@ -8,10 +8,10 @@
 
 const SEEDS = 2 ** 31
 
-/** One way from the instance's own failure domain to each other. */
+/** One-way latencies from the instance's own failure domain to the others. */
 function distancesFrom ({ failureDomain, distances }: RouterSettings): Record<string, number> {
   const own = distances.filter(({ between }) => between.includes(failureDomain))
-  return Object.fromEntries(own.map(({ between: [one, other], oneWayMs }) => [one === failureDomain ? other : one, oneWayMs]))
+  return Object.fromEntries(own.map(({ between: [a, b], oneWayMs }) => [a === failureDomain ? b : a, oneWayMs]))
 }
 
 export function createEntryInstanceOptions (settings: RouterSettings, clock: Clock): EntryInstanceOptions {
@@ -31,7 +31,7 @@
     limits,
     hasOwnProcess: true,
     logs: Logs.create({ instance: name, level: logLevel, clock }),
-    // Instances that drew alike would choose alike and herd onto one server.
+    // Instances with the same seed would make the same choices and overload one server.
     seed: randomInt(SEEDS),
     logRetentionMs: platform.logRetentionMs,
     claimKeptMs: limits.claimKeptMs
--- a/packages/foxtaillever-router/src/instance/entryInstance.ts
+++ b/packages/foxtaillever-router/src/instance/entryInstance.ts
@@ -1,6 +1,6 @@
 /**
- * One entry instance: the router's core between the callers' side and the
- * adapters to backend servers and platform, one member of the fleet.
+ * One entry instance, a member of the fleet: connects the router core with the
+ * server for callers and the adapters to backend servers and the platform.
  */
 import { randomUUID } from 'node:crypto'
 import { SeededRandom, SystemClock, waitUntil, type Clock, type Configuration, type Random } from 'foxtaillever-core'
@@ -23,32 +23,33 @@
 import { Telemetry } from '../telemetry/telemetry.js'
 import { Engines } from './engines.js'
 import type { EntryAddresses, EntryInstanceOptions, Listening } from './entryInstanceOptions.js'
-import { ListWatch } from './listWatch.js'
-import { ServerWatch } from './serverWatch.js'
-import { SoftStateExchange } from './softStateExchange.js'
+import { InstanceListMonitor } from './instanceListMonitor.js'
+import { ServerLoadMonitor } from './serverLoadMonitor.js'
+import { SoftStateSharing } from './softStateSharing.js'
 
-/** How often a shutdown looks whether the last answer is out, milliseconds. */
-const SHUTDOWN_LOOK_MS = 20
+/** Interval at which a shutdown checks whether the last answer was sent, milliseconds. */
+const SHUTDOWN_CHECK_INTERVAL_MS = 20
 
-/** The last outcomes of claims are written in this time, unless the log is down, milliseconds. */
-const LAST_OUTCOMES_MS = 1000
+/** How long a shutdown waits for the last outcomes of claims to be written, milliseconds; enough unless the log is down. */
+const OUTCOME_WRITE_TIMEOUT_MS = 1000
 
-/** Others have heard the goodbye by then, milliseconds; a balancer has looked again. */
-const GOODBYE_MS = 100
+/** Minimum duration of a shutdown, milliseconds: other instances learn of it, and load balancers check readiness again. */
+const GOODBYE_DELAY_MS = 100
 
 function addressOf ({ host, port }: Listening): string {
   return `${host}:${port}`
 }
 
 /**
- * The platform lists the callers' port; instances of one deployment share the
- * port for datagrams. A port that the system chose is only told by its owner.
+ * The platform lists the callers' port; all instances of a deployment use the
+ * same port for datagrams. A port that the system chose is announced only by its
+ * own instance.
  */
 function gossipAddressOf (listed: string, port: number): string {
   return port === 0 ? listed : `${listed.slice(0, listed.lastIndexOf(':'))}:${port}`
 }
 
-/** Composes the parts of one instance; created at rest, then started and stopped once. */
+/** Composes the parts of one instance; it is started and stopped once. */
 export class EntryInstance {
   private readonly clock: Clock = SystemClock.create()
   private readonly random: Random
@@ -66,7 +67,7 @@
   private readonly plain: PlainRouter
   private readonly callers: CallerServer
   private control: ControlServer | undefined
-  private readonly watches: ReadonlyArray<{ readonly start: () => void, readonly stop: () => void }>
+  private readonly components: ReadonlyArray<{ readonly start: () => void, readonly stop: () => void }>
   private accepting = true
 
   private constructor (private readonly options: EntryInstanceOptions) {
@@ -87,12 +88,12 @@
     this.orders = this.createOrders()
     this.plain = PlainRouter.create({ clock, random: this.random, failureDomain: options.failureDomain, logs: options.logs, claims: this.claims })
     this.callers = this.createCallers()
-    this.watches = [
+    this.components = [
       this.core,
       this.orders,
-      ListWatch.create({ clock, list: this.list, core: this.core, plain: this.plain }),
-      ServerWatch.create({ clock, name, fleet: this.fleet, core: this.core, engines: this.engines, configuration: () => this.configuration() }),
-      SoftStateExchange.create({ name, clock, fleet: this.fleet, scheduler: this.core.scheduler })
+      InstanceListMonitor.create({ clock, list: this.list, core: this.core, plain: this.plain }),
+      ServerLoadMonitor.create({ clock, name, fleet: this.fleet, core: this.core, engines: this.engines, configuration: () => this.configuration() }),
+      SoftStateSharing.create({ name, clock, fleet: this.fleet, scheduler: this.core.scheduler })
     ]
   }
 
@@ -159,19 +160,19 @@
       accounts: this.accounts,
       tokens: StreamTokens.create(this.keys),
       configuration: () => this.fleet.store.isKnown() ? this.configuration() : undefined,
-      turnedAway: (requestId, failure) => this.telemetry.rejected(requestId, failure),
+      onRejected: (requestId, failure) => this.telemetry.rejected(requestId, failure),
       accepting: () => this.accepting,
       limits: this.options.limits
     })
   }
 
-  /** Begins to answer operators and other instances. */
+  /** Starts to answer operators and other instances. */
   private async serveControl (server: ControlServer): Promise<void> {
     const { name, failureDomain, logs, operators } = this.options
     const { clock, fleet, core, telemetry, keys } = this
     this.measureFleet()
     await server.serve({
-      control: InstanceControl.create({ name, failureDomain, clock, fleet, core, telemetry, logs, orders: this.orders.desk }),
+      control: InstanceControl.create({ name, failureDomain, clock, fleet, core, telemetry, logs, orders: this.orders.handler }),
       operators: Operators.create(operators),
       metrics: telemetry.metrics,
       clock,
@@ -196,8 +197,8 @@
   }
 
   /**
-   * Starts to serve. Callers are answered from the first moment on: with "not
-   * run" until a configuration is known, from the log or from another instance.
+   * Starts to serve. Until a configuration is known, from the log or from another
+   * instance, callers are answered with "not run".
    */
   async start (): Promise<EntryAddresses> {
     const { listen, control, logs } = this.options
@@ -208,9 +209,9 @@
     this.fleet.setAddresses({ address: gossipAddress, controlAddress })
     await this.serveControl(this.control)
     await this.fleet.start()
-    this.watches.forEach(watch => watch.start())
+    this.components.forEach(component => component.start())
     const callersAddress = await this.callers.http.listen({ host: listen.host, port: listen.port })
-    logs.write('info', Part.Process, 'The instance serves.', { callers: callersAddress, control: controlAddress, gossip: gossipAddress })
+    logs.write('info', Part.Process, 'The instance is serving.', { callers: callersAddress, control: controlAddress, gossip: gossipAddress })
     return { callers: callersAddress, control: controlAddress, gossip: gossipAddress }
   }
 
@@ -223,37 +224,37 @@
     this.options.logs.write('info', Part.Fleet, 'A configuration is in force.', { revision: configuration.revision, preset: configuration.presetInForce })
   }
 
-  /** Puts new keys between instances in force at once; the first one signs. */
+  /** Replaces the keys shared by instances; the first one is used to sign. */
   replaceKeys (keys: ReadonlyArray<Pick<Key, 'id' | 'secret'>>): void {
     this.keys.replace(keys.map(key => ({ ...key, permissions: [Permission.Join] })))
     this.options.logs.write('info', Part.Process, 'New member keys are in force.', { keys: keys.map(({ id }) => id).join(' ') })
   }
 
-  /** Requests and plain calls that still wait for their answer. */
+  /** Number of requests and plain calls that still wait for their answer. */
   private inFlight (): number {
     return this.core.inFlight() + this.plain.inFlight()
   }
 
-  /** Takes nothing new, finishes what is in flight, ends by a stored deadline. */
+  /** Accepts nothing new, finishes what is in flight and ends at the drain deadline at the latest. */
   async stop (): Promise<void> {
     const deadline = this.clock.now() + this.options.limits.drainTimeoutMs
     this.accepting = false
     this.fleet.leave()
-    this.options.logs.write('info', Part.Process, 'The instance shuts down.', { inFlight: this.inFlight() })
-    const goodbyeUntil = this.clock.now() + GOODBYE_MS
+    this.options.logs.write('info', Part.Process, 'The instance is shutting down.', { inFlight: this.inFlight() })
+    const goodbyeUntil = this.clock.now() + GOODBYE_DELAY_MS
     while (this.clock.now() < goodbyeUntil || (this.inFlight() > 0 && this.clock.now() < deadline)) {
-      await waitUntil(this.clock, this.clock.now() + SHUTDOWN_LOOK_MS)
+      await waitUntil(this.clock, this.clock.now() + SHUTDOWN_CHECK_INTERVAL_MS)
     }
-    this.core.endAll()
+    this.core.failAll()
     this.plain.close()
-    await this.claims.stop(this.clock.now() + LAST_OUTCOMES_MS)
-    this.watches.forEach(watch => watch.stop())
+    await this.claims.stop(this.clock.now() + OUTCOME_WRITE_TIMEOUT_MS)
+    this.components.forEach(component => component.stop())
     await this.callers.http.close()
     await this.control?.close()
     await this.fleet.stop()
     this.engines.close()
     await Promise.all([this.log.close(), this.list.close()])
-    this.options.logs.write('info', Part.Process, 'The instance has ended.')
+    this.options.logs.write('info', Part.Process, 'The instance has stopped.')
     this.options.logs.flush()
   }
 }
--- a/packages/foxtaillever-router/src/instance/entryInstanceOptions.ts
+++ b/packages/foxtaillever-router/src/instance/entryInstanceOptions.ts
@@ -1,10 +1,10 @@
-/** What one entry instance is told at its start. */
+/** Options of an entry instance. */
 import type { OperatorTokens } from 'foxtaillever-control'
 import type { Key } from 'foxtaillever-fleet'
 import type { Logs } from 'foxtaillever-telemetry'
 
 export interface Listening {
-  /** IP number. */
+  /** IP address. */
   readonly host: string
   /** 0 lets the system choose. */
   readonly port: number
@@ -19,17 +19,17 @@
   readonly control: Listening
   /** UDP, between instances. */
   readonly gossip: Listening
-  /** Addresses for datagrams of some instances, besides what the platform lists. */
+  /** Gossip addresses of some instances, in addition to those that the platform lists. */
   readonly seeds: readonly string[]
   readonly keys: readonly Key[]
   readonly operators: readonly OperatorTokens[]
   readonly logAddress: string
   readonly listAddress: string
-  /** One way to other failure domains, milliseconds. */
+  /** One-way latency to other failure domains, milliseconds. */
   readonly distancesMs: Readonly<Record<string, number>>
   readonly limits: InstanceLimits
   readonly logs: Logs
-  /** Whether its metrics tell of the process too; not where many instances share one. */
+  /** Whether its metrics include those of the process; false where several instances share a process. */
   readonly hasOwnProcess?: boolean
   readonly seed: number
   /** The platform keeps records at least this long, milliseconds. */
@@ -45,7 +45,7 @@
   readonly arrivalTimeoutMs: number
   /** A caller's connection without a request is closed after this. */
   readonly idleTimeoutMs: number
-  /** How long a leaving instance lets requests in flight go on. */
+  /** How long an instance that shuts down waits for requests in flight. */
   readonly drainTimeoutMs: number
 }
 
@@ -53,8 +53,8 @@
 export interface EntryAddresses {
   /** URL for callers. */
   readonly callers: string
-  /** IP number and port. */
+  /** IP address and port. */
   readonly control: string
-  /** IP number and port. */
+  /** IP address and port. */
   readonly gossip: string
 }
--- a/packages/foxtaillever-router/src/instance/softStateExchange.ts
+++ b/packages/foxtaillever-router/src/instance/softStateSharing.ts
@@ -1,22 +1,21 @@
 /**
- * Tells other instances what this one has learnt and takes in what they say:
- * requests suspected of crashing backend servers, and the demand of client
- * accounts near their limit. Without it, a request that crashes engines could
- * be sent through each instance in turn, and an account's limit would be split
- * evenly although its requests are not.
+ * Shares soft state with other instances: requests suspected of crashing backend
+ * servers, and the demand of client accounts near their limit. Without it, a
+ * request that crashes engines could be sent through each instance in turn, and
+ * an account's limit would be split evenly although its requests are not.
  */
 import type { Cancellation, Clock } from 'foxtaillever-core'
 import { FactKind, type Fact, type Fleet } from 'foxtaillever-fleet'
 import type { AccountDemand, Scheduler, SuspectFact } from 'foxtaillever-policy'
 
-/** As often as the fleet's own systems run, milliseconds. */
+/** The same interval as that of the fleet's own systems, milliseconds. */
 const PERIOD_MS = 500
 
-/** Demand is a mean over seconds; an older word says nothing, milliseconds. */
+/** How long a reported demand is valid, milliseconds; demand is a mean over seconds. */
 const DEMAND_KEPT_MS = 3000
 
-/** Suspects are told again at a third of this, milliseconds. */
-const SUSPECT_TOLD_MS = 15_000
+/** How long an announced suspect is kept, milliseconds; it is announced again after a third of this. */
+const SUSPECT_KEPT_MS = 15_000
 
 export interface SoftStateOptions {
   /** Of this instance. */
@@ -26,22 +25,22 @@
   readonly scheduler: Scheduler
 }
 
-/** All the demand of one instance goes in one fact, so that its silence on an account is a word too. */
+/** All the demand of one instance is one fact, so that an account without demand is known as such. */
 const DEMAND_KEY = 'all'
 
-export class SoftStateExchange {
+export class SoftStateSharing {
   private cancel: Cancellation = () => {}
-  /** When each suspect is told again, milliseconds of Unix time, and what was told. */
-  private readonly told = new Map<string, { readonly again: number, readonly text: string }>()
+  /** The last announcement of each suspect, and when it is announced again, milliseconds of Unix time. */
+  private readonly announced = new Map<string, { readonly announceAgainAt: number, readonly text: string }>()
 
   private constructor (private readonly options: SoftStateOptions) {}
 
-  static create (options: SoftStateOptions): SoftStateExchange {
-    return new SoftStateExchange(options)
+  static create (options: SoftStateOptions): SoftStateSharing {
+    return new SoftStateSharing(options)
   }
 
   start (): void {
-    this.options.fleet.onFact(fact => this.take(fact))
+    this.options.fleet.onFact(fact => this.applyFact(fact))
     this.tick()
   }
 
@@ -54,12 +53,12 @@
     const now = clock.now()
     const members = fleet.members()
     scheduler.observeInstances(members.length, Math.max(0, members.findIndex(member => member.name === name)))
-    this.tellDemand(now)
-    this.tellSuspects(now)
+    this.announceDemand(now)
+    this.announceSuspects(now)
     this.cancel = clock.at(now + PERIOD_MS, () => this.tick())
   }
 
-  private tellDemand (now: number): void {
+  private announceDemand (now: number): void {
     const demands = this.options.scheduler.demandToShare(now)
     if (demands.length > 0) {
       const value = demands.map(({ account, tokensPerSecond }) => [account, Math.round(tokensPerSecond)])
@@ -67,23 +66,23 @@
     }
   }
 
-  private tellSuspects (now: number): void {
+  private announceSuspects (now: number): void {
     for (const fact of this.options.scheduler.suspectsToShare(now)) {
       const text = JSON.stringify(fact)
-      const told = this.told.get(fact.fingerprint)
-      if (!told || told.again <= now || told.text !== text) {
-        this.told.set(fact.fingerprint, { again: now + SUSPECT_TOLD_MS / 3, text })
-        this.options.fleet.share(FactKind.Suspect, fact.fingerprint, fact, Math.min(fact.expiresAt, now + SUSPECT_TOLD_MS))
+      const last = this.announced.get(fact.fingerprint)
+      if (!last || last.announceAgainAt <= now || last.text !== text) {
+        this.announced.set(fact.fingerprint, { announceAgainAt: now + SUSPECT_KEPT_MS / 3, text })
+        this.options.fleet.share(FactKind.Suspect, fact.fingerprint, fact, Math.min(fact.expiresAt, now + SUSPECT_KEPT_MS))
       }
     }
-    for (const [fingerprint, { again }] of this.told) {
-      if (again + SUSPECT_TOLD_MS <= now) {
-        this.told.delete(fingerprint)
+    for (const [fingerprint, { announceAgainAt: again }] of this.announced) {
+      if (again + SUSPECT_KEPT_MS <= now) {
+        this.announced.delete(fingerprint)
       }
     }
   }
 
-  private take (fact: Fact): void {
+  private applyFact (fact: Fact): void {
     factHandlers[fact.kind]?.(this.options.scheduler, fact, this.options.clock.now())
   }
 }
--- a/packages/foxtaillever-router/src/orders/orderDesk.ts
+++ b/packages/foxtaillever-router/src/orders/logOrderHandler.ts
@@ -1,18 +1,19 @@
 /**
- * Takes operators' orders into the log and tells how far each is. Whichever
- * instance holds the lease carries them out; this one only sees what it can.
+ * Writes operators' orders to the log and reports their progress. The instance
+ * that holds the lease carries them out; other instances only know what is in
+ * the log and what they observe at backend servers.
  */
 import { randomUUID } from 'node:crypto'
 import { EngineRole, Failure, FailureCode, OrderKind as EngineOrderKind, RecordKind, waitUntil, type Clock, type EngineOrder, type Log } from 'foxtaillever-core'
 import { OrderKind, OrderState, type OrderProgress, type ServerOrder } from 'foxtaillever-control'
 import { isLoad, WantState, type OrderRecord, type OrderSystem, type Want, type WantFold } from 'foxtaillever-fleet'
 import { Left, Right, type Either } from 'purify-ts'
-import type { OrderDesk } from '../control/instanceControl.js'
+import type { OrderHandler } from '../control/instanceControl.js'
 
-/** An order that is not read back by then may still be carried out, milliseconds. */
+/** How long an order is waited for in the log, milliseconds; one that is not seen by then may still be carried out. */
 const READ_BACK_MS = 5000
 
-const LOOK_MS = 50
+const POLL_INTERVAL_MS = 50
 
 type Translation = (id: string, order: ServerOrder) => EngineOrder
 
@@ -23,7 +24,7 @@
   [OrderKind.SetRole]: (id, { value }) => ({ id, kind: EngineOrderKind.ChangeRole, role: value as EngineRole })
 }
 
-/** Back from what stands in the log to what operators read. */
+/** Maps kinds of orders in the log to those that operators see. */
 const kinds: Record<EngineOrderKind, OrderKind> = {
   [EngineOrderKind.LoadModel]: OrderKind.LoadWeights,
   [EngineOrderKind.LoadVersion]: OrderKind.SetVersion,
@@ -38,21 +39,21 @@
   [WantState.Failed]: OrderState.Failed
 }
 
-export interface LogOrderDeskOptions {
+export interface LogOrderHandlerOptions {
   readonly log: Log
   readonly clock: Clock
   readonly wants: WantFold
   readonly system: OrderSystem
 }
 
-export class LogOrderDesk implements OrderDesk {
-  private constructor (private readonly options: LogOrderDeskOptions) {}
+export class LogOrderHandler implements OrderHandler {
+  private constructor (private readonly options: LogOrderHandlerOptions) {}
 
-  static create (options: LogOrderDeskOptions): LogOrderDesk {
-    return new LogOrderDesk(options)
+  static create (options: LogOrderHandlerOptions): LogOrderHandler {
+    return new LogOrderHandler(options)
   }
 
-  async give (order: ServerOrder, author: string): Promise<Either<Failure, OrderProgress>> {
+  async submit (order: ServerOrder, author: string): Promise<Either<Failure, OrderProgress>> {
     const { log, clock } = this.options
     if (order.kind === OrderKind.SetRole && !Object.values(EngineRole).includes(order.value as EngineRole)) {
       return Left(Failure.notRun(FailureCode.BadRequest, `A role is one of ${Object.values(EngineRole).join(', ')}.`))
@@ -65,7 +66,7 @@
     if (want) {
       return Right(this.progressOf(want))
     }
-    // A lost answer was looked for in the log and not found in time.
+    // The append succeeded or its answer was lost, but the order was not found in the log in time.
     const failure = Failure.notRun(FailureCode.LogUnavailable, 'The order was not seen in the log; ask for the list of orders before giving it again.')
     return Left(appended.swap().orDefault(failure))
   }
@@ -78,7 +79,7 @@
       if (want) {
         return want
       }
-      await waitUntil(clock, clock.now() + LOOK_MS)
+      await waitUntil(clock, clock.now() + POLL_INTERVAL_MS)
     }
     return undefined
   }
--- a/packages/foxtaillever-router/src/orders/orders.ts
+++ b/packages/foxtaillever-router/src/orders/orders.ts
@@ -1,17 +1,18 @@
 /**
- * The orders' part of one entry instance: the lease, what is wanted, and the
- * loop that corrects what backend servers have. Only the two computed homes of
- * the lease try for it, so that hundreds of instances do not append at once.
+ * Orders to backend servers in one entry instance: the lease, the wanted state,
+ * and the loop that brings backend servers to it. Only the two homes of the
+ * lease try to acquire it, so that hundreds of instances do not append to the
+ * log at once.
  */
 import type { Cancellation, Clock, Configuration, Log, LogRecord, Random } from 'foxtaillever-core'
 import { homesOf, LeaseFold, LeaseHolder, OrderSystem, WantFold } from 'foxtaillever-fleet'
 import { OrderClient } from '../adapters/orderClient.js'
-import { LogOrderDesk } from './orderDesk.js'
+import { LogOrderHandler } from './logOrderHandler.js'
 
-/** Name of the one lease under which all orders are given. */
+/** Name of the lease under which all orders are given. */
 const LEASE = 'orders'
 
-/** A dead home is replaced by the second at once. */
+/** Number of homes; the standby replaces a dead owner at once. */
 const CANDIDATES = 2
 
 const TICK_MS = 100
@@ -23,12 +24,12 @@
   readonly clock: Clock
   readonly random: Random
   readonly configuration: () => Configuration
-  /** Live instances, this one included. */
+  /** Live instances, including this one. */
   readonly members: () => ReadonlyArray<{ readonly name: string }>
 }
 
 export class Orders {
-  readonly desk: LogOrderDesk
+  readonly handler: LogOrderHandler
   private readonly holder: LeaseHolder
   private readonly wants = WantFold.create()
   private readonly system: OrderSystem
@@ -46,20 +47,20 @@
       port: OrderClient.create(server => configuration().servers[server]?.address),
       servers: () => Object.values(configuration().servers).filter(({ models }) => models.length > 0).map(server => server.name)
     })
-    this.desk = LogOrderDesk.create({ log, clock, wants: this.wants, system: this.system })
+    this.handler = LogOrderHandler.create({ log, clock, wants: this.wants, system: this.system })
   }
 
   static create (options: OrdersOptions): Orders {
     return new Orders(options)
   }
 
-  /** Nobody needs the lease while nothing is wanted. */
+  /** No instance needs the lease while there are no orders. */
   private isCandidate (): boolean {
     const homes = homesOf(LEASE, this.options.members(), CANDIDATES)
     return this.wants.all().length > 0 && homes.some(({ name }) => name === this.options.name)
   }
 
-  /** Given to the log reader. */
+  /** Applies one record; called by the log reader. */
   readonly read = (record: LogRecord): void => {
     this.wants.read(record)
     this.holder.read(record)
--- a/packages/foxtaillever-router/src/plain/__fixtures__/plainRig.ts
+++ b/packages/foxtaillever-router/src/plain/__fixtures__/plainRig.ts
@@ -1,4 +1,4 @@
-/** Calls of plain services between real sockets: the router behind an HTTP front, scripted backend servers, time moved by hand. */
+/** Calls of plain services over real sockets: the router behind an HTTP server, scripted backend servers and a virtual clock. */
 import { PassThrough } from 'node:stream'
 import type { ExecutionContext } from 'ava'
 import fastify from 'fastify'
@@ -9,13 +9,13 @@
 import { ScriptedServer, type Answer } from 'foxtaillever-relay/__fixtures__/scriptedServer'
 import { Logs } from 'foxtaillever-telemetry'
 import { VirtualClock } from 'foxtaillever-testing'
-import { noClaims, type Claims } from '../../core/claimDesk.js'
+import { noClaims, type Claims } from '../../core/claims.js'
 import { PlainRouter } from '../plainRouter.js'
 
 const account: ClientAccount = { name: 'firm', keyDigests: [], weight: 1, priority: PriorityClass.Priority, tokensPerSecond: 1, concurrentRequests: 1 }
 
-/** Among equal servers the first one is chosen. */
-const first = { next: () => 0 } as unknown as Random
+/** Selects the first of equal servers. */
+const alwaysZero = { next: () => 0 } as unknown as Random
 
 function createPlain (name: string, address: string): BackendServer {
   return {
@@ -57,7 +57,7 @@
   }
 }
 
-/** A port on which nothing listens. */
+/** An address on which nothing listens. */
 export async function closedPort (): Promise<string> {
   const server = await ScriptedServer.start(() => {})
   const { address } = server
@@ -74,15 +74,15 @@
   private constructor (readonly servers: readonly ScriptedServer[], claims: Claims) {
     const { clock } = this
     const logs = Logs.create({ instance: 'i', level: 'silent', clock, destination: new PassThrough() })
-    this.router = PlainRouter.create({ clock, random: first, failureDomain: 'sesvete', logs, claims })
+    this.router = PlainRouter.create({ clock, random: alwaysZero, failureDomain: 'sesvete', logs, claims })
   }
 
-  /** Servers are chosen in the order of their answers while nothing else speaks for one. */
+  /** Equal servers are selected in the order of the given answers. */
   static async start (t: ExecutionContext, ...answers: Answer[]): Promise<PlainRig> {
-    return await PlainRig.claiming(t, noClaims, ...answers)
+    return await PlainRig.startWithClaims(t, noClaims, ...answers)
   }
 
-  static async claiming (t: ExecutionContext, claims: Claims, ...answers: Answer[]): Promise<PlainRig> {
+  static async startWithClaims (t: ExecutionContext, claims: Claims, ...answers: Answer[]): Promise<PlainRig> {
     const servers = await Promise.all(answers.map(async answer => await ScriptedServer.start(answer)))
     const rig = new PlainRig(servers, claims)
     rig.configure(createConfiguration(servers.map(({ address }) => address)))
@@ -97,7 +97,7 @@
     return rig
   }
 
-  /** Calls that arrived at each server. */
+  /** Number of calls that arrived at each server. */
   get arrivals (): number[] {
     return this.servers.map(({ arrivals }) => arrivals.length)
   }
@@ -107,7 +107,7 @@
     this.router.configure(configuration)
   }
 
-  /** Rejects when the answer was cut. */
+  /** Rejects when the answer was truncated. */
   async call (method: string, path: string, options: RequestInit = {}): Promise<{ status: number, headers: Headers, body: string }> {
     const answer = await fetch(`${this.address}/records${path}`, { method, ...options })
     return { status: answer.status, headers: answer.headers, body: await answer.text() }
--- a/packages/foxtaillever-router/src/plain/__tests__/plainAnswers.test.ts
+++ b/packages/foxtaillever-router/src/plain/__tests__/plainAnswers.test.ts
@@ -1,4 +1,4 @@
-/** What callers get when plain services answer in part, twice, late or with failures of their own. */
+/** What callers receive when plain services answer incompletely, twice, late or with their own failures. */
 import { bodyOf, play, Way } from 'foxtaillever-relay/__fixtures__/misbehaviour'
 import { wholeAnswer, type Answer } from 'foxtaillever-relay/__fixtures__/scriptedServer'
 import { describe, it } from 'foxtaillever-testing'
@@ -11,9 +11,9 @@
 }
 
 describe('answers of plain services', () => {
-  // The service of an export crashes in the middle of an answer that says no
-  // length. Passed on as whole, half an export would be filed as the export.
-  it('are not passed on as whole when they were cut', async t => {
+  // The server of an export crashes in the middle of an answer without a length.
+  // If the answer passed as complete, half an export would be filed as the export.
+  it('are not passed on as complete when they were truncated', async t => {
     for (const way of [Way.UnframedReset, Way.ResetInBody, Way.CutInBody, Way.CutInHead]) {
       const rig = await PlainRig.start(t, playing(way))
       const { status, headers } = await rig.call('POST', '/exports')
@@ -22,14 +22,14 @@
     }
   })
 
-  it('are asked of another server when a lookup was cut', async t => {
+  it('are requested from another server when the answer to a lookup was truncated', async t => {
     const rig = await PlainRig.start(t, playing(Way.CutInBody), playing(Way.Unframed))
     t.is((await rig.call('GET', '/citations/1')).body, wholeBody)
   })
 
-  // A service answers one call twice. Read by the next call, the second answer
-  // would give one client the records of another.
-  it('are never those of a call before', async t => {
+  // A service answers one call twice. If the next call received the second
+  // answer, one client would see the records of another.
+  it('are never those of an earlier call', async t => {
     for (const way of [Way.WholeAndAnother, Way.WholeThenLate]) {
       const rig = await PlainRig.start(t, arrival => play(rig.arrivals[0] === 1 ? way : Way.Whole, false, arrival))
       t.is((await rig.call('GET', '/citations/1')).body, wholeBody, way)
@@ -45,13 +45,13 @@
     t.is(headers.get('stamp'), null)
   })
 
-  it('keep the length that a HEAD call asks for', async t => {
+  it('keep the content length of a HEAD call', async t => {
     const rig = await PlainRig.start(t, ({ socket }) => socket.write('HTTP/1.1 200 OK\r\ncontent-length: 1234\r\n\r\n'))
     t.is((await rig.call('HEAD', '/citations/1')).headers.get('content-length'), '1234')
   })
 
-  // A service is busy and says so in its own way. Its callers know what that
-  // status means there; told something else, they would not wait.
+  // A service is busy and answers with its own status. Its callers know this
+  // status; with another one they would not wait.
   it('of a busy service are passed on as they are', async t => {
     for (const status of ['429 Slow Down', '503 Busy', '408 Timeout']) {
       const rig = await PlainRig.start(t, arrival => arrival.socket.write(wholeAnswer(arrival, 'busy', status)))
@@ -60,8 +60,8 @@
     }
   })
 
-  // One server answers a lookup with an error of its own while the other is well.
-  it('that are failures are asked of another server where that does no harm', async t => {
+  // One server answers a lookup with an error while the other one works.
+  it('that are failures are requested from another server if the call may be repeated', async t => {
     const rig = await PlainRig.start(t, playing(Way.Failed), playing(Way.Whole))
     t.is((await rig.call('POST', '/exports')).status, 500)
     t.is((await rig.call('GET', '/citations/1')).body, wholeBody)
@@ -69,9 +69,9 @@
 })
 
 describe('silent plain services', () => {
-  // A server hangs with a lookup while the other answers within milliseconds.
-  // Waited out, the caller has nothing at its deadline.
-  it('lose a lookup to another server once it is known what is usual', async t => {
+  // A server hangs on a lookup while the other one answers within milliseconds.
+  // Without a second attempt, the caller has no answer at its deadline.
+  it('lose a lookup to another server once the usual response time is known', async t => {
     const rig = await PlainRig.start(t, arrival => rig.arrivals[0] === 1 && play(Way.Whole, false, arrival), playing(Way.Whole))
     await rig.call('GET', '/citations/1')
     const late = rig.call('GET', '/citations/2')
@@ -80,7 +80,7 @@
     t.is((await late).body, wholeBody)
   })
 
-  it('have until the deadline with an export', async t => {
+  it('have until the deadline to answer an export', async t => {
     const rig = await PlainRig.start(t, () => {})
     const call = rig.call('POST', '/exports')
     await rig.servers[0]?.arrived(1)
--- a/packages/foxtaillever-router/src/plain/__tests__/plainRouter.test.ts
+++ b/packages/foxtaillever-router/src/plain/__tests__/plainRouter.test.ts
@@ -2,7 +2,7 @@
 import { wholeAnswer, type Answer } from 'foxtaillever-relay/__fixtures__/scriptedServer'
 import { describe, it } from 'foxtaillever-testing'
 import { Right } from 'purify-ts'
-import type { Claims } from '../../core/claimDesk.js'
+import type { Claims } from '../../core/claims.js'
 import { closedPort, createConfiguration, PlainRig } from '../__fixtures__/plainRig.js'
 import { matchCall } from '../matchCall.js'
 
@@ -11,21 +11,21 @@
 
 const work: Answer = arrival => arrival.socket.write(wholeAnswer(arrival, 'done'))
 
-const hang: Answer = () => {}
+const neverAnswer: Answer = () => {}
 
 describe('plain services', () => {
   describe('when a backend server cuts the connection after it has read the call', () => {
-    it('repeats a lookup at another one', async t => {
-      // The server crashed while it worked on a lookup. The associate should
-      // see the citation as if nothing had happened.
+    it('repeats a lookup at another server', async t => {
+      // The server crashes while it processes a lookup. The caller should still
+      // receive the citation.
       const rig = await PlainRig.start(t, cut, work)
       t.is((await rig.call('GET', '/citations/1')).status, 200)
       t.deepEqual(rig.arrivals, [1, 1])
     })
 
     it('never repeats an export, and says that it may have run', async t => {
-      // The server crashed while it worked on a billed export. Nobody can know
-      // whether it was billed, so a second try might bill the client twice.
+      // The server crashes while it processes a billed export. It is unknown
+      // whether it was billed, so a second attempt might bill the client twice.
       const rig = await PlainRig.start(t, cut, work)
       const answer = await rig.call('POST', '/exports')
       t.is(answer.status, 502)
@@ -35,7 +35,7 @@
   })
 
   describe('when no connection to a backend server can be made', () => {
-    it('sends an export to another one, since no byte of it has left', async t => {
+    it('sends an export to another server, since no byte of it was sent', async t => {
       const rig = await PlainRig.start(t, work)
       const [working = ''] = rig.servers.map(({ address }) => address)
       rig.configure(createConfiguration([await closedPort(), working], 2))
@@ -43,7 +43,7 @@
       t.deepEqual(rig.arrivals, [1])
     })
 
-    it('says not run, and when to come back, when that was the last one', async t => {
+    it('answers not run, with the time to retry, when no other server is left', async t => {
       const rig = await PlainRig.start(t)
       rig.configure(createConfiguration([await closedPort()], 2))
       const answer = await rig.call('POST', '/exports')
@@ -52,9 +52,9 @@
     })
   })
 
-  describe('when a backend server asks for rest', () => {
-    // Guards against calls that a server has turned away for a time of its own.
-    it('sends it nothing until then, and the calls to another one', async t => {
+  describe('when a backend server requests a backoff', () => {
+    // Guards against calls to a server that has refused calls for a stated time.
+    it('sends it nothing until then, and the calls to another server', async t => {
       const rest: Answer = arrival => arrival.socket.write(wholeAnswer(arrival, '', '503 Busy', 'x-verdict: not_run', 'retry-after: 3'))
       const rig = await PlainRig.start(t, rest, work)
       for (const path of ['/exports', '/exports', '/exports']) {
@@ -65,9 +65,9 @@
   })
 
   describe('when every backend server loses the call', () => {
-    // Both servers crash over a lookup. A status for "not run" would be wrong:
-    // the caller's log would deny work that was done.
-    it('says that it may have run, with the status of a lost call', async t => {
+    // Both servers crash during a lookup. A status for "not run" would be wrong,
+    // since the call may have been processed.
+    it('answers that it may have run, with the status of a lost call', async t => {
       const rig = await PlainRig.start(t, cut, cut)
       const answer = await rig.call('GET', '/citations/1')
       t.is(answer.status, 502)
@@ -76,9 +76,9 @@
     })
   })
 
-  describe('the choice of a backend server', () => {
+  describe('the selection of a backend server', () => {
     it('spreads calls evenly', async t => {
-      const rig = await PlainRig.start(t, hang, hang)
+      const rig = await PlainRig.start(t, neverAnswer, neverAnswer)
       for (const place of [0, 1, 0, 1]) {
         const server = rig.servers[place]
         const arrived = server?.arrived(server.arrivals.length + 1)
@@ -88,9 +88,9 @@
       t.deepEqual(rig.arrivals, [2, 2])
     })
 
-    // One of two servers cuts every connection. Half of all calls would be lost
-    // first, and the exports among them for good.
-    it('passes over a server that keeps failing, and tries it again later', async t => {
+    // One of two servers closes every connection. Half of all calls would fail at
+    // it first, and the exports among them could not be repeated.
+    it('skips a server that keeps failing, and uses it again later', async t => {
       const rig = await PlainRig.start(t, cut, work)
       for (let count = 0; count < 10; count += 1) {
         await rig.call('GET', '/citations/1')
@@ -101,7 +101,7 @@
       t.is(rig.arrivals[0], 4)
     })
 
-    it('sends a call to the only server that is left, however often it failed', async t => {
+    it('sends a call to the only remaining server, however often it failed', async t => {
       const rig = await PlainRig.start(t, arrival => (rig.arrivals[0] ?? 0) > 5 ? work(arrival) : cut(arrival))
       for (let count = 0; count < 5; count += 1) {
         await rig.call('GET', '/citations/1')
@@ -109,21 +109,21 @@
       t.is((await rig.call('GET', '/citations/1')).status, 200)
     })
 
-    // A server is drained and put back in service. Remembered as one that
-    // leaves, it would get no calls until the instance is restarted.
-    it('sends nothing to a server that leaves, and calls again when it is back', async t => {
+    // A server is drained and put back in service. If it stayed marked as leaving,
+    // it would get no calls until the instance is restarted.
+    it('sends nothing to a server that is leaving, and calls again when it is back in service', async t => {
       const rig = await PlainRig.start(t, work, work)
-      rig.router.observeLeaving('plain-0', true)
+      rig.router.setLeaving('plain-0', true)
       await rig.call('GET', '/citations/1')
-      rig.router.observeLeaving('plain-0', false)
-      rig.router.observeLeaving('plain-1', true)
+      rig.router.setLeaving('plain-0', false)
+      rig.router.setLeaving('plain-1', true)
       await rig.call('GET', '/citations/1')
       t.deepEqual(rig.arrivals, [1, 1])
     })
 
-    // A server moves to another machine under its name. Connections to the old
-    // one would be used until they fail.
-    it('follows a server to its new address', async t => {
+    // A server moves to another address under the same name. Without new
+    // connections, calls would go to the old address until they fail.
+    it('uses the new address of a server that moved', async t => {
       const rig = await PlainRig.start(t, work, work)
       for (const [revision, { address }] of rig.servers.entries()) {
         rig.configure(createConfiguration([address], revision + 2))
@@ -133,42 +133,42 @@
     })
   })
 
-  describe('claims of calls that run once', () => {
+  describe('claims of calls that run at most once', () => {
     const headers = { 'idempotency-key': '1700000000000-export' }
 
-    function createClaims (settled: Verdict[]): Claims {
-      return { claim: async () => Right({} as never), cancel: () => {}, settle: (_, verdict) => settled.push(verdict) }
+    function createClaims (outcomes: Verdict[]): Claims {
+      return { claim: async () => Right({} as never), cancel: () => {}, settle: (_, verdict) => outcomes.push(verdict) }
     }
 
-    // The caller of a billed export leaves while it runs. Settled as not run,
-    // its second call under the same key would be billed again.
-    it('are settled as may have run when the caller leaves', async t => {
-      const settled: Verdict[] = []
-      const rig = await PlainRig.claiming(t, createClaims(settled), hang)
+    // The caller of a billed export disconnects while it runs. If "not run" were
+    // recorded, its second call under the same key would be billed again.
+    it('are recorded as may have run when the caller disconnects', async t => {
+      const outcomes: Verdict[] = []
+      const rig = await PlainRig.startWithClaims(t, createClaims(outcomes), neverAnswer)
       const caller = new AbortController()
       const call = rig.call('POST', '/exports', { headers, signal: caller.signal }).catch(() => {})
       await rig.servers[0]?.arrived(1)
       caller.abort()
       await Promise.all([call, rig.servers[0]?.closed(0)])
-      t.deepEqual(settled, [Verdict.MayHaveRun])
+      t.deepEqual(outcomes, [Verdict.MayHaveRun])
     })
 
-    it('are settled by what the backend server proved', async t => {
-      const settled: Verdict[] = []
+    it('are recorded with the verdict that the backend server proved', async t => {
+      const outcomes: Verdict[] = []
       const refuse: Answer = arrival => arrival.socket.write(wholeAnswer(arrival, '', '503 Busy', 'x-verdict: not_run'))
       const answers = [work, cut, refuse]
-      const rig = await PlainRig.claiming(t, createClaims(settled), arrival => answers.shift()?.(arrival))
+      const rig = await PlainRig.startWithClaims(t, createClaims(outcomes), arrival => answers.shift()?.(arrival))
       for (const status of [200, 502, 503]) {
         t.is((await rig.call('POST', '/exports', { headers })).status, status)
       }
-      t.deepEqual(settled, [Verdict.Ran, Verdict.MayHaveRun, Verdict.NotRun])
+      t.deepEqual(outcomes, [Verdict.Ran, Verdict.MayHaveRun, Verdict.NotRun])
     })
   })
 
   describe('paths', () => {
-    it('does not let an export pass for a lookup by a path that steps upwards', t => {
-      // A caller asks for citations/../exports. The service would resolve it
-      // to an export, which the router took for a repeatable lookup.
+    it('does not let an export pass for a lookup by a path with dot segments', t => {
+      // A caller requests citations/../exports. The service would resolve it to an
+      // export, which the router would treat as a repeatable lookup.
       const configuration = createConfiguration(['127.0.0.1:1'])
       for (const url of ['/records/citations/../exports', '/records/citations/%2e%2E/exports', '/records/citations/.%2e/exports']) {
         t.true(matchCall(configuration, 'GET', url).isLeft(), url)
--- a/packages/foxtaillever-router/src/plain/createPlainDesk.ts
+++ b/packages/foxtaillever-router/src/plain/createPlainDispatcher.ts
@@ -1,4 +1,4 @@
-/** The relay core for calls of plain services: without prompts, weights or other instances. */
+/** Creates the relay core's dispatcher for calls of plain services: without prompts, weights or other instances. */
 import { presetOf, type Clock, type Configuration, type Random } from 'foxtaillever-core'
 import type { RetryAllowance } from 'foxtaillever-policy/relay/retryShare'
 import { noLoad } from 'foxtaillever-policy/relay/serverLoad'
@@ -11,19 +11,19 @@
 import { routingOf } from './plainRoutes.js'
 import { plainWire } from './plainWire.js'
 
-/** A server that takes longer to accept a connection is passed over, milliseconds: there and back to the farthest failure domain, twice. */
+/** A server that takes longer to accept a connection is skipped, milliseconds: two round trips to the farthest failure domain. */
 const CONNECT_TIMEOUT_MS = 500
 
-/** Retries beyond the share, so that a quiet instance can move the calls of a server that crashes. */
+/** Retries allowed beyond the ratio, so that an instance with little traffic can move the calls of a crashed server. */
 const RETRY_SLACK = 20
 
-/** Over which retries are counted, milliseconds; a server restarts within it. */
+/** Window over which retries are counted, milliseconds; long enough for a server to restart. */
 const RETRY_WINDOW_MS = 10_000
 
 /**
- * No call is suspected of crashing servers. The same few lookups come from all
- * callers, so an outage of the service would make suspects of them, and they
- * would be refused long after it.
+ * No call is suspected of crashing servers. All callers make the same few
+ * lookups, so an outage of the service would make them suspects, and they would
+ * be refused long after it.
  */
 const noSuspicions: Suspicions = {
   isRefused: () => false,
@@ -33,12 +33,12 @@
   clearSuspicion: () => {}
 }
 
-/** Retries as the preset in force allows them. */
+/** The retry budget of the preset in force. */
 export function retryAllowanceOf (configuration: Configuration): RetryAllowance {
   return { ratio: presetOf(configuration).retryShare, slack: RETRY_SLACK, windowMs: RETRY_WINDOW_MS }
 }
 
-export interface PlainDeskOptions {
+export interface PlainDispatcherOptions {
   readonly clock: Clock
   readonly random: Random
   readonly failureDomain: string
@@ -46,14 +46,14 @@
   readonly configuration: () => Configuration
 }
 
-export function createPlainDesk ({ configuration, ...shared }: PlainDeskOptions): ExchangeDispatcher {
-  const desk = ExchangeDispatcher.create({
+export function createPlainDispatcher ({ configuration, ...shared }: PlainDispatcherOptions): ExchangeDispatcher {
+  const dispatcher = ExchangeDispatcher.create({
     ...shared,
     wire: plainWire,
     connectTimeoutMs: CONNECT_TIMEOUT_MS,
     retryAllowance: retryAllowanceOf(configuration()),
     suspects: noSuspicions,
-    // The router's own limits have let the call pass.
+    // The router has already applied its own limits.
     quota: noQuotas,
     use: { of: () => noLoad },
     ...withoutStores,
@@ -70,7 +70,7 @@
     onServerChanged: () => {},
     onMisdirected: () => {}
   })
-  // The constant is meant for each instance.
-  desk.setInstanceCount(1)
-  return desk
+  // RETRY_SLACK applies to each instance by itself.
+  dispatcher.setInstanceCount(1)
+  return dispatcher
 }
--- a/packages/foxtaillever-router/src/plain/matchCall.ts
+++ b/packages/foxtaillever-router/src/plain/matchCall.ts
@@ -5,7 +5,7 @@
 export interface MatchedCall {
   readonly service: PlainService
   readonly call: PlainCall
-  /** Path below the service's own, query included. */
+  /** Path relative to the service's own, query included. */
   readonly path: string
   /** Whether the service itself allows the call to be repeated. */
   readonly idempotent: boolean
@@ -17,8 +17,9 @@
 }
 
 /**
- * A path that steps upwards is refused: it would match the declaration of one
- * call and reach another, so an export could pass for a lookup.
+ * Whether the path has "." or ".." segments. Such a path is refused: it would
+ * match the declaration of one call and reach another, so an export could pass
+ * for a lookup.
  */
 function hasDotSegment (path: string): boolean {
   const bare = path.split('?')[0] ?? ''
@@ -35,7 +36,7 @@
 
 export function matchCall (configuration: Configuration, method: string, url: string): Either<Failure, MatchedCall> {
   if (hasDotSegment(url)) {
-    return Left(Failure.notRun(FailureCode.BadRequest, 'The path may not step upwards.'))
+    return Left(Failure.notRun(FailureCode.BadRequest, 'The path may not contain "." or ".." segments.'))
   }
   const service = Object.values(configuration.services).find(candidate => isBelow(url, candidate.path))
   if (!service) {
--- a/packages/foxtaillever-router/src/plain/plainRouter.ts
+++ b/packages/foxtaillever-router/src/plain/plainRouter.ts
@@ -1,9 +1,9 @@
 /**
- * Routes calls of plain services by path. Language work never stands before
- * them: they have limits and queues of their own. A call is claimed where it may
- * not be repeated, passes the gate of its service, and is then an exchange of the
- * relay core, which chooses servers, tries, checks answers and says what may
- * have run.
+ * Routes calls of plain services by path. They have their own limits and queues,
+ * so that they never wait behind language requests. A call that may not be
+ * repeated is claimed first. A call then passes the gate of its service and
+ * becomes an exchange of the relay core, which selects servers, makes attempts,
+ * checks answers and gives the verdict.
  */
 import type { ServerResponse } from 'node:http'
 import type { FastifyReply, FastifyRequest } from 'fastify'
@@ -19,9 +19,9 @@
 import type { Logs } from 'foxtaillever-telemetry'
 import { Left } from 'purify-ts'
 import { writeFailure } from '../callers/writeFailure.js'
-import type { Claims } from '../core/claimDesk.js'
+import type { Claims } from '../core/claims.js'
 import { claimPlainCall } from './claimPlainCall.js'
-import { createPlainDesk, retryAllowanceOf } from './createPlainDesk.js'
+import { createPlainDispatcher, retryAllowanceOf } from './createPlainDispatcher.js'
 import { matchCall, type MatchedCall } from './matchCall.js'
 import { PlainServers } from './plainServers.js'
 import { readExchange, readHead } from './readExchange.js'
@@ -42,31 +42,31 @@
   readonly configuration: Configuration
 }
 
-/** The caller's side of one call. */
+/** The connection to the caller of one call. */
 interface Caller {
   readonly answer: CallerAnswer
   readonly response: ServerResponse
 }
 
-/** Waiting calls whose deadline has come are told this soon, milliseconds. */
+/** Interval at which the deadlines of waiting calls are checked, milliseconds. */
 const TICK_MS = 20
 
 export class PlainRouter {
   private readonly gate = ServiceGate.create()
   private readonly log: RelayLog
-  private readonly desk: ExchangeDispatcher
+  private readonly dispatcher: ExchangeDispatcher
   private readonly servers: PlainServers
   private configuration = emptyConfiguration
-  private calls = 0
-  private open = 0
+  private callCount = 0
+  private callsInFlight = 0
   private isTicking = false
   private cancelTick: Cancellation = () => {}
 
   private constructor (private readonly options: PlainRouterOptions) {
     const { clock, random, failureDomain, logs } = options
     this.log = RelayLog.create(logs)
-    this.desk = createPlainDesk({ clock, random, failureDomain, log: this.log, configuration: () => this.configuration })
-    this.servers = PlainServers.create(this.desk.directory)
+    this.dispatcher = createPlainDispatcher({ clock, random, failureDomain, log: this.log, configuration: () => this.configuration })
+    this.servers = PlainServers.create(this.dispatcher.directory)
   }
 
   static create (options: PlainRouterOptions): PlainRouter {
@@ -76,18 +76,18 @@
   configure (configuration: Configuration): void {
     this.configuration = configuration
     this.gate.configure(configuration, this.options.clock.now())
-    this.desk.retries.setAllowance(retryAllowanceOf(configuration))
+    this.dispatcher.retries.setAllowance(retryAllowanceOf(configuration))
     this.servers.configure(configuration)
   }
 
-  /** Takes the word of the instance list, or of the server itself. */
-  observeLeaving (server: string, isLeaving: boolean): void {
-    this.servers.observeLeaving(server, isLeaving)
+  /** Records whether the server is leaving, as the instance list or the server itself reports. */
+  setLeaving (server: string, isLeaving: boolean): void {
+    this.servers.setLeaving(server, isLeaving)
   }
 
-  /** Calls that wait for their answer. */
+  /** Number of calls that wait for their answer. */
   inFlight (): number {
-    return this.open
+    return this.callsInFlight
   }
 
   serve ({ request, reply, account, configuration }: PlainCallContext): void {
@@ -100,30 +100,30 @@
     matchCall(configuration, request.method, request.url).caseOf({
       Left: failure => this.refuse(caller, head, failure),
       Right: call => {
-        this.begin()
+        this.beginCall()
         this.serveCall(caller, call, readExchange(head, request, call, account, clock), String(request.headers[CallerHeader.IdempotencyKey] ?? ''))
       }
     })
   }
 
-  private begin (): void {
-    this.open += 1
+  private beginCall (): void {
+    this.callsInFlight += 1
     if (!this.isTicking) {
       this.tick()
     }
   }
 
-  /** Looks after the waiting calls; an instance without any does not tick. */
+  /** Checks the waiting calls; an instance without any does not tick. */
   private tick (): void {
     const { clock } = this.options
-    this.isTicking = this.open > 0
+    this.isTicking = this.callsInFlight > 0
     if (this.isTicking) {
       this.gate.tick(clock.now())
       this.cancelTick = clock.at(clock.now() + TICK_MS, () => this.tick())
     }
   }
 
-  /** Serves the call, under a claim where it may not be repeated and its caller named a key. */
+  /** Serves the call, under a claim if it may not be repeated and its caller gave a key. */
   private async serveCall (caller: Caller, { idempotent }: MatchedCall, exchange: Exchange, idempotencyKey: string): Promise<void> {
     if (idempotent || idempotencyKey === '') {
       this.relay(caller, exchange, () => {})
@@ -132,7 +132,7 @@
     const claim = await claimPlainCall(this.options.claims, exchange, { account: exchange.account?.name ?? '', idempotencyKey })
     claim.caseOf({
       Left: failure => {
-        this.open -= 1
+        this.callsInFlight -= 1
         this.refuse(caller, exchange, failure)
       },
       Right: settle => this.relay(caller, exchange, settle)
@@ -140,37 +140,37 @@
   }
 
   /**
-   * Sends the call as soon as its service has room for it; a caller that goes
-   * meanwhile gives its place back.
-   * @param onOver is told whether the call may have run.
+   * Sends the call as soon as its service has capacity; if the caller disconnects
+   * before that, its place in the queue is released.
+   * @param onEnded receives the verdict of the call.
    */
-  private relay (caller: Caller, exchange: Exchange, onOver: (verdict: Verdict) => void): void {
+  private relay (caller: Caller, exchange: Exchange, onEnded: (verdict: Verdict) => void): void {
     const { service, deadline } = exchange
-    const id = `plain-${++this.calls}`
+    const id = `plain-${++this.callCount}`
     const onPass: PassListener = pass => {
-      caller.response.off('close', onGone)
+      caller.response.off('close', onCallerGone)
       pass.caseOf({
         Left: failure => {
-          this.open -= 1
+          this.callsInFlight -= 1
           this.refuse(caller, exchange, failure)
-          onOver(failure.verdict)
+          onEnded(failure.verdict)
         },
-        Right: () => this.run(caller, exchange, id, onOver)
+        Right: () => this.run(caller, exchange, id, onEnded)
       })
     }
-    const onGone = (): void => {
+    const onCallerGone = (): void => {
       this.gate.withdraw(id)
-      onPass(Left(Failure.notRun(FailureCode.Cancelled, 'The caller has gone.')))
+      onPass(Left(Failure.notRun(FailureCode.Cancelled, 'The caller has disconnected.')))
     }
-    caller.response.once('close', onGone)
+    caller.response.once('close', onCallerGone)
     this.gate.acquire({ id, service, deadline }, this.options.clock.now(), onPass)
   }
 
-  private run ({ answer }: Caller, exchange: Exchange, id: string, onOver: (verdict: Verdict) => void): void {
-    this.desk.runs.start(exchange, answer, verdict => {
-      this.open -= 1
+  private run ({ answer }: Caller, exchange: Exchange, id: string, onEnded: (verdict: Verdict) => void): void {
+    this.dispatcher.runs.start(exchange, answer, verdict => {
+      this.callsInFlight -= 1
       this.gate.release(id, this.options.clock.now())
-      onOver(verdict)
+      onEnded(verdict)
     })
   }
 
@@ -179,11 +179,11 @@
     answer.fail(failure)
   }
 
-  /** Ends what is left at a shutdown whose time is up; nothing is kept open. */
+  /** Aborts all remaining calls and closes all connections when the time of a shutdown is up. */
   close (): void {
     this.cancelTick()
     this.gate.refuseAll(Failure.notRun(FailureCode.Leaving, 'This instance is shutting down.', this.options.clock.now()))
-    this.desk.runs.abort()
+    this.dispatcher.runs.abort()
     this.servers.configure(emptyConfiguration)
   }
 }
--- a/packages/foxtaillever-router/src/plain/plainRoutes.ts
+++ b/packages/foxtaillever-router/src/plain/plainRoutes.ts
@@ -1,13 +1,13 @@
-/** Plain services of the configuration as routes and servers of the relay core. */
+/** Converts plain services of the configuration to routes and servers of the relay core. */
 import { AdministrativeState, type BackendServer, type Configuration, type PlainService } from 'foxtaillever-core'
 import { ServerState, type ListedServer } from 'foxtaillever-relay/model/listedServer'
 import { Repeatability, type Route, type Routing } from 'foxtaillever-relay/model/routing'
 import type { MatchedCall } from './matchCall.js'
 
-/** Tries of a repeatable call at most; more would only lengthen an outage. */
-const MOST_TRIES = 3
+/** Maximum attempts of a repeatable call; more would only lengthen an outage. */
+const MAX_ATTEMPTS = 3
 
-/** The route of one declared call. Services name no objective, so what is usual says when one is silent. */
+/** The route of one declared call. Services state no objective, so silence is judged by their usual response time. */
 export function routeOf ({ service, call, idempotent }: MatchedCall): Route {
   const { name, path, timeoutMs } = service
   return {
@@ -23,17 +23,17 @@
     timeoutMs,
     objectiveMs: 0,
     pauseObjectiveMs: 0,
-    mostAttempts: MOST_TRIES,
+    mostAttempts: MAX_ATTEMPTS,
     priority: 0
   }
 }
 
-/** Callers are admitted and their requests read by the entry instance itself; only the services matter here. */
+/** Only the services matter here: the entry instance itself admits callers and reads their requests. */
 export function routingOf ({ revision, services }: Configuration): Routing {
   return {
     revision,
     routes: [],
-    // The gate bounds the calls of a service, so its connections need no further bound.
+    // The service gate bounds the calls of a service, so its connections need no further limit.
     services: new Map(Object.values(services).map(({ name, concurrentRequests }) => [name, { name, healthPath: '', mostConnections: concurrentRequests, engine: undefined }])),
     cacheStores: [],
     accounts: [],
@@ -41,7 +41,7 @@
   }
 }
 
-function openServers (service: PlainService, { servers }: Configuration, leaving: ReadonlySet<string>): BackendServer[] {
+function availableServers (service: PlainService, { servers }: Configuration, leaving: ReadonlySet<string>): BackendServer[] {
   return service.servers
     .filter(name => !leaving.has(name))
     .flatMap(name => servers[name] ?? [])
@@ -49,21 +49,21 @@
 }
 
 /**
- * The servers that may get calls, each once for each of its services. One with
- * another address is another server, so that it gets connections of its own.
- * @param leaving names of servers that said they will end soon.
+ * The servers that may get calls, each once for each of its services. The id
+ * contains the address, so that a server that moves gets new connections.
+ * @param leaving names of servers that reported that they are leaving.
  */
 export function listServers (configuration: Configuration, leaving: ReadonlySet<string>): ListedServer[] {
   return Object.values(configuration.services).flatMap(service => {
-    const open = openServers(service, configuration, leaving)
-    return open.map(({ name, address, failureDomain }) => ({
+    const available = availableServers(service, configuration, leaving)
+    return available.map(({ name, address, failureDomain }) => ({
       id: `${service.name}/${name}@${address}`,
       startedAt: 0,
       service: service.name,
       address,
       failureDomain,
-      // An equal part of the service's calls.
-      slots: Math.ceil(service.concurrentRequests / open.length),
+      // An equal share of the service's calls.
+      slots: Math.ceil(service.concurrentRequests / available.length),
       state: ServerState.Ready,
       coldLeftMs: 0,
       weights: new Map<string, number>()
--- a/packages/foxtaillever-router/src/plain/plainServers.ts
+++ b/packages/foxtaillever-router/src/plain/plainServers.ts
@@ -1,4 +1,4 @@
-/** Keeps the relay core's directory in line with the configuration and with what servers say of themselves. */
+/** Keeps the relay core's directory up to date with the configuration and with which servers are leaving. */
 import { emptyConfiguration, type Configuration } from 'foxtaillever-core'
 import type { ServerDirectory } from 'foxtaillever-relay/servers/serverDirectory'
 import { listServers, routingOf } from './plainRoutes.js'
@@ -6,7 +6,7 @@
 export class PlainServers {
   private configuration: Configuration = emptyConfiguration
   private readonly leaving = new Set<string>()
-  /** Rises with each change, as the directory asks of its entries. */
+  /** Increases with each change, as the directory requires. */
   private version = 0
 
   private constructor (private readonly directory: ServerDirectory) {}
@@ -21,8 +21,8 @@
     this.update()
   }
 
-  /** Takes the word of the instance list, or of the server itself. */
-  observeLeaving (server: string, isLeaving: boolean): void {
+  /** Records whether the server is leaving, as the instance list or the server itself reports. */
+  setLeaving (server: string, isLeaving: boolean): void {
     if (this.leaving.has(server) === isLeaving) {
       return
     }
--- a/packages/foxtaillever-router/src/plain/plainWire.ts
+++ b/packages/foxtaillever-router/src/plain/plainWire.ts
@@ -1,8 +1,8 @@
 /**
- * The wire between the router and plain services: ordinary HTTP, of which
- * services see a few headers of the caller and callers a few of the service.
- * Services know nothing of this router, so an answer needs no stamp, and the
- * connection alone says whose it is.
+ * The protocol between the router and plain services: ordinary HTTP. A few
+ * headers of the caller are forwarded to the service, and a few of the service
+ * are returned to the caller. Services do not know this router, so an answer
+ * needs no stamp; only the connection says which call it belongs to.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import { CallerHeader, EngineHeader, Verdict } from 'foxtaillever-core'
@@ -10,16 +10,16 @@
 import { readRetryAfter } from 'foxtaillever-relay/model/retryAfter'
 import type { AnswerMarks, ServerWire } from 'foxtaillever-relay/model/wire'
 
-/** Headers of the caller that the service sees, besides the request's id. */
+/** Headers of the caller that are forwarded to the service, besides the request's id. */
 const FORWARDED_HEADERS = ['content-type', 'accept', 'accept-language', CallerHeader.IdempotencyKey]
 
-/** Headers of the service that the caller sees. */
+/** Headers of the service that are returned to the caller. */
 const returnedHeaders = new Set(['content-type', 'content-length', 'content-disposition', 'etag', 'last-modified', 'cache-control'])
 
-/** These have no body unless the caller sent one. */
+/** Methods whose requests have no body unless the caller sent one. */
 const bodilessMethods = new Set(['GET', 'HEAD', 'DELETE'])
 
-/** Names and values in turn. */
+/** Alternating names and values. */
 export function forwardedHeaders (headers: IncomingHttpHeaders): string[] {
   return FORWARDED_HEADERS.flatMap(name => {
     const value = headers[name]
@@ -27,7 +27,7 @@
   })
 }
 
-function returned (rawHeaders: readonly string[]): string[] {
+function selectReturnedHeaders (rawHeaders: readonly string[]): string[] {
   return rawHeaders.filter((_, index) => returnedHeaders.has((rawHeaders[index - index % 2] ?? '').toLowerCase()))
 }
 
@@ -43,7 +43,7 @@
 }
 
 export const plainWire: ServerWire = {
-  // Callers go by the verdict, so a service's own "busy" is its own answer.
+  // Callers rely on the verdict, so a service's own "busy" status is an answer like any other.
   notRunStatuses: new Set(),
   createHeaders: ({ id, method, headers, body }, { server }) => {
     const length = body.length === 0 && bodilessMethods.has(method) ? [] : ['content-length', String(body.length)]
@@ -51,5 +51,5 @@
   },
   readMarks,
   readStatement: (status, headers) => ({ serverId: undefined, requestId: undefined, hasRun: headers[EngineHeader.Verdict] !== Verdict.NotRun, isLeaving: false, restMs: readRetryAfter(status, headers['retry-after']), limit: noLimit }),
-  passHeaders: returned
+  passHeaders: selectReturnedHeaders
 }
--- a/packages/foxtaillever-router/src/plain/readExchange.ts
+++ b/packages/foxtaillever-router/src/plain/readExchange.ts
@@ -7,7 +7,7 @@
 import { routeOf } from './plainRoutes.js'
 import { forwardedHeaders } from './plainWire.js'
 
-/** Ids of callers that may stand in lines of the log. */
+/** Request ids of callers that are safe to write to the log. */
 const REQUEST_ID = /^[\w.-]{1,128}$/
 
 const noBody = Buffer.alloc(0)
@@ -27,10 +27,10 @@
   }
 }
 
-/** When the caller stops waiting, milliseconds of Unix time; without end when it does not say. */
+/** When the caller stops waiting, milliseconds of Unix time; Infinity when it does not say. */
 function readCallerDeadline ({ headers }: FastifyRequest, now: number): number {
-  const asked = [Number(headers[CallerHeader.Deadline]), now + Number(headers[CallerHeader.Timeout])]
-  return Math.min(...asked.filter(Number.isFinite), Infinity)
+  const requested = [Number(headers[CallerHeader.Deadline]), now + Number(headers[CallerHeader.Timeout])]
+  return Math.min(...requested.filter(Number.isFinite), Infinity)
 }
 
 export function readExchange (head: ExchangeHead, request: FastifyRequest, call: MatchedCall, { name }: ClientAccount, clock: Clock): Exchange {
--- a/packages/foxtaillever-router/src/telemetry/telemetry.ts
+++ b/packages/foxtaillever-router/src/telemetry/telemetry.ts
@@ -87,7 +87,7 @@
   /** A call was refused before it became a request, such as for an unknown key or a malformed body. */
   rejected (requestId: string, failure: Failure): void {
     this.metrics.count(MetricName.Refused, { account: '', rule: failure.code })
-    this.options.logs.write('info', Part.Callers, 'A call is refused before it became a request.', { request: requestId, code: failure.code, verdict: failure.verdict })
+    this.options.logs.write('info', Part.Callers, 'A call was refused before it became a request.', { request: requestId, code: failure.code, verdict: failure.verdict })
   }
 
   assigned (job: Job, { server, candidates, rule }: Assignment): void {
