--- a/packages/foxtaillever-capacity/src/measures/foldCost.ts
+++ b/packages/foxtaillever-capacity/src/measures/foldCost.ts
@@ -41,7 +41,7 @@
   const before = heapNow()
   const store = ConfigurationStore.create()
   // Parsed anew, so that strings are counted as a reader of the log holds them.
-  store.take(JSON.parse(JSON.stringify(createWholeRecord(1))) as LogRecord)
+  store.applyRecord(JSON.parse(JSON.stringify(createWholeRecord(1))) as LogRecord)
   return { store, heapBytes: heapNow() - before }
 }
 
@@ -56,7 +56,7 @@
   const snapshot = JSON.stringify({ offset: 2, id: 'snapshot', kind: RecordKind.Snapshot, writtenAt: 0, appendedAt: 0, body: copy })
   const { sealed } = sealValue(keys, { nonce: 'n', value: copy })
   const offset = (): number => store.current().offset + 1
-  const change = microsecondsOf(() => store.take(createAccountChange(offset(), store.configuration().revision)))
+  const change = microsecondsOf(() => store.applyRecord(createAccountChange(offset(), store.configuration().revision)))
   const claims = JSON.stringify(createClaims(1))
   return {
     snapshotBytes: snapshot.length,
@@ -64,12 +64,12 @@
     copyBytes: sealed.length,
     heapBytes,
     changeMicroseconds: change,
-    snapshotMicroseconds: microsecondsOf(() => { ConfigurationStore.create().take(JSON.parse(snapshot) as LogRecord) }),
+    snapshotMicroseconds: microsecondsOf(() => { ConfigurationStore.create().applyRecord(JSON.parse(snapshot) as LogRecord) }),
     giveMicroseconds: microsecondsOf(() => { sealValue(keys, { nonce: 'n', value: copy }) }),
     takeMicroseconds: microsecondsOf(() => {
       const taken = openValue<{ value: FoldedConfiguration }>(keys, sealed).extract()
       isIntact(taken!.value)
     }),
-    otherRecordMicroseconds: microsecondsOf(() => { store.take({ ...JSON.parse(claims) as LogRecord, offset: offset() }) })
+    otherRecordMicroseconds: microsecondsOf(() => { store.applyRecord({ ...JSON.parse(claims) as LogRecord, offset: offset() }) })
   }
 }
--- a/packages/foxtaillever-capacity/src/members/hostedMember.ts
+++ b/packages/foxtaillever-capacity/src/members/hostedMember.ts
@@ -67,7 +67,7 @@
   }
 
   take (record: LogRecord): void {
-    this.fleet.store.take(record)
+    this.fleet.store.applyRecord(record)
   }
 
   share (count: number): void {
--- a/packages/foxtaillever-control/src/__fixtures__/fakeControl.ts
+++ b/packages/foxtaillever-control/src/__fixtures__/fakeControl.ts
@@ -5,7 +5,7 @@
 import type { AddressInfo } from 'node:net'
 import { createHash } from 'node:crypto'
 import { emptyConfiguration, Failure, FailureCode, RecordKind, SystemClock, type Configuration } from 'foxtaillever-core'
-import { digestOf, foldConfiguration, FoldOutcome, PublicationOutcome, type AcceptedRevision, type InForce, type Publication, type PublicationOrder } from 'foxtaillever-fleet'
+import { digestOf, foldConfiguration, FoldOutcome, PublicationOutcome, type AcceptedRevision, type InForce, type Publication, type PublicationRequest } from 'foxtaillever-fleet'
 import { Left, Right, type Either } from 'purify-ts'
 import type { Control } from '../protocol/control.js'
 import { createFigures, type Figures } from '../protocol/figures.js'
@@ -33,7 +33,7 @@
     return Right({ configuration: this.folded, offset: this.folded.revision, digest: digestOf(this.folded), history: this.history })
   }
 
-  async publish ({ base, author, changes }: PublicationOrder): Promise<Either<Failure, Publication>> {
+  async publish ({ base, author, changes }: PublicationRequest): Promise<Either<Failure, Publication>> {
     const offset = this.folded.revision + 1
     const step = foldConfiguration(this.folded, { id: String(offset), kind: RecordKind.Configuration, writtenAt: 0, appendedAt: 0, offset, body: { base, author, changes } })
     const accepted = step.outcome === FoldOutcome.Accepted
--- a/packages/foxtaillever-control/src/protocol/control.ts
+++ b/packages/foxtaillever-control/src/protocol/control.ts
@@ -3,7 +3,7 @@
  * router of this package puts it on a port, the client calls it.
  */
 import type { Failure } from 'foxtaillever-core'
-import type { InForce, Publication, PublicationOrder } from 'foxtaillever-fleet'
+import type { InForce, Publication, PublicationRequest } from 'foxtaillever-fleet'
 import type { Either } from 'purify-ts'
 import type { Figures } from './figures.js'
 import type { OrderProgress, ServerOrder } from './orders.js'
@@ -12,7 +12,7 @@
 export interface Control {
   configuration: () => Either<Failure, ConfigurationView>
   /** The answer says what became of the record; a failure means that none was written. */
-  publish: (order: PublicationOrder) => Promise<Either<Failure, Publication>>
+  publish: (order: PublicationRequest) => Promise<Either<Failure, Publication>>
   /** Answers when all live instances have the revision in force, at the latest at the deadline. */
   waitInForce: (revision: number, deadline: number) => Promise<InForce>
   /** Entry instances as this one knows them, itself included. */
--- a/packages/foxtaillever-fleet/src/__tests__/configuration.test.ts
+++ b/packages/foxtaillever-fleet/src/__tests__/configuration.test.ts
@@ -64,7 +64,7 @@
     // it not passed on, an accepted preset would be in force on one instance only.
     const { clock, fake, instances } = await createFleet()
     const publication = instances[0]!.fleet.publish({ base: 0, author: 'operator', changes: [{ kind: ChangeKind.SwitchPreset, name: PresetName.Peaks }], deadline: clock.now() + 5000 })
-    instances[0]!.fleet.store.take(fake.log.all()[0]!)
+    instances[0]!.fleet.store.applyRecord(fake.log.allRecords()[0]!)
     fake.log.isDown = true
     await clock.advanceBy(IN_FORCE_MS)
     t.is((await publication).outcome, PublicationOutcome.Accepted)
@@ -76,7 +76,7 @@
     await switchPreset(instances[0]!, clock, PresetName.Maintenance)
     fake.log.isDown = true
     const fresh = await fake.start('fresh')
-    t.false(fresh.fleet.store.isKnown())
+    t.false(fresh.fleet.store.hasConfiguration())
     await clock.advanceBy(1500)
     t.is(fresh.fleet.store.configuration().presetInForce, PresetName.Maintenance)
     t.is(fresh.fleet.store.current().digest, instances[0]!.fleet.store.current().digest)
@@ -89,7 +89,7 @@
     await Promise.all(instances.map(({ fleet }) => fleet.stop()))
     const fresh = await fake.start('fresh')
     await clock.advanceBy(10_000)
-    t.false(fresh.fleet.store.isKnown())
+    t.false(fresh.fleet.store.hasConfiguration())
   })
 
   it('does not go back when a half that lagged meets the other again', async t => {
--- a/packages/foxtaillever-fleet/src/configuration/__fixtures__/fakeLog.ts
+++ b/packages/foxtaillever-fleet/src/configuration/__fixtures__/fakeLog.ts
@@ -1,19 +1,19 @@
 /**
- * The platform's log within one process, with the faults that matter: outages,
- * lost answers, slow reads and retention.
+ * The platform's log within one process, with the faults that tests need: outages,
+ * lost answers, slow reads and expired records.
  */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure, FailureCode, Verdict, waitUntil, type Clock, type Log, type LogEntry, type LogPage, type LogRecord } from 'foxtaillever-core'
 
-/** How long an answer takes at least, milliseconds. */
+/** Minimum time until an answer, milliseconds. */
 const ANSWER_MS = 5
 
-/** What becomes of one append. */
-export enum AppendFate {
+/** How one append ends. */
+export enum AppendOutcome {
   Answered = 'answered',
-  /** Appended, but the writer hears that it may not have been. */
+  /** Appended, but the writer gets no answer. */
   AnswerLost = 'answer-lost',
-  /** Lost on the way there; the writer hears the same. */
+  /** Not appended; the writer gets no answer either. */
   RequestLost = 'request-lost'
 }
 
@@ -22,9 +22,9 @@
   /** How long a read takes, milliseconds. */
   readDelayMs = 0
   appends = 0
-  private readonly fates: AppendFate[] = []
+  private readonly outcomes: AppendOutcome[] = []
   private records: LogRecord[] = []
-  private next = 1
+  private nextOffset = 1
   private readonly waiters = new Set<() => void>()
 
   private constructor (private readonly clock: Clock) {}
@@ -33,9 +33,9 @@
     return new FakeLog(clock)
   }
 
-  /** Fates of the appends to come; later ones are answered. */
-  decide (...fates: readonly AppendFate[]): void {
-    this.fates.push(...fates)
+  /** Sets the outcomes of the next appends; the appends after them are answered. */
+  setAppendOutcomes (...outcomes: readonly AppendOutcome[]): void {
+    this.outcomes.push(...outcomes)
   }
 
   /** Drops the records below the offset, as at the end of their retention. */
@@ -43,7 +43,7 @@
     this.records = this.records.filter(record => record.offset >= offset)
   }
 
-  all (): readonly LogRecord[] {
+  allRecords (): readonly LogRecord[] {
     return this.records
   }
 
@@ -52,20 +52,20 @@
     if (this.isDown) {
       return Left(Failure.notRun(FailureCode.LogUnavailable, 'The log is down.'))
     }
-    const fate = this.fates.shift() ?? AppendFate.Answered
+    const outcome = this.outcomes.shift() ?? AppendOutcome.Answered
     const lost = Left(Failure.create(FailureCode.ConnectionLost, Verdict.MayHaveRun, 'No answer came.'))
-    if (fate === AppendFate.RequestLost) {
+    if (outcome === AppendOutcome.RequestLost) {
       return lost
     }
-    const offset = this.next++
-    // A record goes through JSON on its way, so that no reader shares objects with its writer.
+    const offset = this.nextOffset++
+    // The record is copied through JSON, so that readers share no objects with the writer.
     this.records.push(JSON.parse(JSON.stringify({ ...entry, offset, appendedAt: this.clock.now() })) as LogRecord)
     this.wakeReaders()
-    return fate === AppendFate.Answered ? Right(offset) : lost
+    return outcome === AppendOutcome.Answered ? Right(offset) : lost
   }
 
   async read (from: number, deadline: number): Promise<Either<Failure, LogPage>> {
-    if (!this.isDown && from >= this.next) {
+    if (!this.isDown && from >= this.nextOffset) {
       await this.waitForRecord(deadline)
     }
     await waitUntil(this.clock, this.clock.now() + ANSWER_MS + this.readDelayMs)
@@ -74,8 +74,8 @@
     }
     return Right({
       records: this.records.filter(record => record.offset >= from),
-      first: this.records[0]?.offset ?? this.next,
-      next: this.next,
+      first: this.records[0]?.offset ?? this.nextOffset,
+      next: this.nextOffset,
       now: this.clock.now()
     })
   }
--- a/packages/foxtaillever-fleet/src/configuration/__tests__/configurationStore.test.ts
+++ b/packages/foxtaillever-fleet/src/configuration/__tests__/configurationStore.test.ts
@@ -23,11 +23,11 @@
 
 function storeAfter (records: readonly LogRecord[]): ConfigurationStore {
   const store = ConfigurationStore.create()
-  records.forEach(record => store.take(record))
+  records.forEach(record => store.applyRecord(record))
   return store
 }
 
-/** Random writers: each record builds on one of the last revisions that its author may have seen. */
+/** Random logs: each record builds on one of the latest revisions that its author may have seen. */
 const logs = fc.array(fc.record({ lag: fc.nat(3), queueLimit: fc.nat(50), other: fc.boolean() }), { minLength: 1, maxLength: 30 }).map(steps => {
   const records: LogRecord[] = []
   const bases = [0]
@@ -37,7 +37,7 @@
     const base = bases.at(-1 - lag) ?? 0
     const record = other ? otherRecord(offset) : changeRecord(offset, base, [putPreset(queueLimit)])
     records.push(record)
-    store.take(record)
+    store.applyRecord(record)
     bases.push(store.configuration().revision)
   })
   return records
@@ -45,14 +45,14 @@
 
 describe('ConfigurationStore', () => {
   describe('fold', () => {
-    it('accepts the first of two changes on one revision and refuses the other', t => {
+    it('accepts the first of two changes of the same revision and refuses the second', t => {
       const store = storeAfter([changeRecord(1, 0), changeRecord(2, 0)])
       t.is(store.configuration().revision, 1)
       t.is(store.current().offset, 2)
       t.is(store.current().history.at(-1)?.author, 'operator-1')
     })
 
-    it('refuses a record that names no known preset or kind', t => {
+    it('refuses a record with an unknown preset or kind of change', t => {
       const unknown = { kind: 'put-nothing', name: 'x' } as unknown as Change
       const badPreset = { kind: ChangeKind.SwitchPreset, name: 'holidays' } as unknown as Change
       const store = storeAfter([changeRecord(1, 0, [unknown]), changeRecord(2, 0, [badPreset]), changeRecord(3, 0, null as unknown as Change[])])
@@ -61,20 +61,20 @@
       t.is(store.current().offset, 3)
     })
 
-    it('tells listeners of changes and of nothing else', t => {
+    it('calls listeners for changes only', t => {
       const revisions: number[] = []
       const store = ConfigurationStore.create()
       store.onChange(({ configuration }) => revisions.push(configuration.revision))
       const records = [changeRecord(1, 0), otherRecord(2), changeRecord(3, 0), changeRecord(4, 1)]
-      records.forEach(record => store.take(record))
+      records.forEach(record => store.applyRecord(record))
       t.deepEqual(revisions, [1, 4])
     })
   })
 
-  describe('offers of old copies', () => {
-    it('never moves back, whatever is replayed or offered in whatever order', t => {
-      // A peer that was paused, or a reader that starts over, hands on what was
-      // folded long ago. Taken, it would bring an earlier preset back into force.
+  describe('copies and changes of peers', () => {
+    it('never reverts, whatever records and copies arrive in whatever order', t => {
+      // A peer that was paused offers an old copy, or a reader starts over. If the
+      // store adopted such a state, an earlier preset would come back into force.
       fc.assert(fc.property(logs, fc.array(fc.nat(29), { maxLength: 60 }), (records, picks) => {
         const copies = records.map((_, index) => storeAfter(records.slice(0, index + 1)).current())
         const store = ConfigurationStore.create()
@@ -82,9 +82,9 @@
         for (const pick of picks) {
           const index = pick % records.length
           if (pick % 2 === 0) {
-            store.offer(copies[index]!)
+            store.offerCopy(copies[index]!)
           } else {
-            records.slice(0, index + 1).forEach(record => store.take(record))
+            records.slice(0, index + 1).forEach(record => store.applyRecord(record))
           }
           highest = Math.max(highest, index + 1)
           t.is(store.current().offset, highest)
@@ -94,15 +94,15 @@
       }), { seed: 11, numRuns: 200 })
     })
 
-    it('refuses a copy whose digest is not that of its contents', t => {
+    it('refuses a copy whose digest does not match its contents', t => {
       const copy = storeAfter([changeRecord(1, 0), changeRecord(2, 1)]).current()
       const store = storeAfter([changeRecord(1, 0)])
       const forged = { ...copy, configuration: { ...copy.configuration, presetInForce: PresetName.Maintenance } }
-      t.is(store.offer(forged), OfferOutcome.Damaged)
+      t.is(store.offerCopy(forged), OfferOutcome.Damaged)
       t.is(store.configuration().revision, 1)
     })
 
-    it('catches up by the changes of a peer, and only from where it stands', t => {
+    it('catches up with the changes of a peer, and only from its own revision', t => {
       const records = [changeRecord(1, 0), changeRecord(2, 1), otherRecord(3), changeRecord(4, 2), changeRecord(5, 2), changeRecord(6, 4)]
       const peer = storeAfter(records)
       const behind = storeAfter(records.slice(0, 2))
@@ -113,44 +113,45 @@
       t.is(behind.current().offset, 6)
       t.is(behind.offerChanges(changes), OfferOutcome.Older)
       const forged = { ...changes, records: [changeRecord(4, 2, [putPreset(99)])] }
-      const other = storeAfter(records.slice(0, 2))
-      t.is(other.offerChanges(forged), OfferOutcome.Damaged)
-      t.is(other.configuration().revision, 2)
+      const unchanged = storeAfter(records.slice(0, 2))
+      t.is(unchanged.offerChanges(forged), OfferOutcome.Damaged)
+      t.is(unchanged.configuration().revision, 2)
       t.is(peer.changesSince(3), undefined)
     })
 
-    it('refuses and counts a copy that contradicts its own fold', t => {
+    it('refuses and counts a copy that contradicts its own configuration', t => {
       const store = storeAfter([changeRecord(1, 0, [putPreset(5)])])
-      const other = storeAfter([changeRecord(1, 0, [putPreset(6)]), otherRecord(2)]).current()
-      t.is(store.offer(other), OfferOutcome.Divergent)
+      const divergent = storeAfter([changeRecord(1, 0, [putPreset(6)]), otherRecord(2)]).current()
+      t.is(store.offerCopy(divergent), OfferOutcome.Divergent)
       t.is(store.divergenceCount(), 1)
     })
   })
 
-  describe('a log whose first kept offset is above 1', () => {
+  describe('a log whose first retained offset is above 1', () => {
     it('folds nothing across the gap until a snapshot covers it', t => {
-      // An instance was paused for longer than records are kept. What it would
-      // fold on top of its old configuration was refused by all others.
+      // An instance was suspended for longer than the retention. If it folded the
+      // later records on top of its old configuration, it would accept changes that
+      // all other instances refused.
       const whole = storeAfter([changeRecord(1, 0), changeRecord(2, 1)])
       const store = storeAfter([changeRecord(1, 0), changeRecord(4, 1)])
       t.true(store.hasGap())
       t.is(store.configuration().revision, 1)
-      ;[otherRecord(3), changeRecord(4, 1), changeRecord(5, 2)].forEach(record => whole.take(record))
-      store.take(changeRecord(5, 2))
-      store.take(snapshotRecord(6, whole))
+      ;[otherRecord(3), changeRecord(4, 1), changeRecord(5, 2)].forEach(record => whole.applyRecord(record))
+      store.applyRecord(changeRecord(5, 2))
+      store.applyRecord(snapshotRecord(6, whole))
       t.false(store.hasGap())
       t.is(store.current().digest, whole.current().digest)
       t.is(store.current().offset, 6)
     })
 
-    it('waits when the snapshot itself does not reach the first kept record', t => {
+    it('waits when a snapshot does not reach the first retained record', t => {
       const old = storeAfter([changeRecord(1, 0)])
       const store = storeAfter([otherRecord(5), snapshotRecord(6, old)])
-      t.false(store.isKnown())
+      t.false(store.hasConfiguration())
       t.true(store.hasGap())
     })
 
-    it('folds on a snapshot what stands between it and its own record', t => {
+    it('folds the records between the offset of a snapshot and the snapshot record', t => {
       const writer = storeAfter([changeRecord(1, 0), otherRecord(2)])
       const early = snapshotRecord(4, writer)
       const store = storeAfter([changeRecord(3, 1), early, changeRecord(5, 3)])
@@ -161,21 +162,21 @@
     it('closes the gap with the copy of a peer', t => {
       const peer = storeAfter([changeRecord(1, 0), changeRecord(2, 1), otherRecord(3), changeRecord(4, 2)])
       const store = storeAfter([changeRecord(1, 0), changeRecord(4, 2), changeRecord(5, 4)])
-      t.is(store.offer(peer.current()), OfferOutcome.Taken)
+      t.is(store.offerCopy(peer.current()), OfferOutcome.Taken)
       t.is(store.configuration().revision, 5)
       t.false(store.hasGap())
     })
 
-    it('knows of a gap though the log has expired to nothing', t => {
-      // After a quiet time longer than the retention no record is left to show
-      // that others were missed; the log's first offset still does.
+    it('detects a gap when all records of the log have expired', t => {
+      // After a period without records longer than the retention, no record is left
+      // to show that earlier ones were missed. The log's first offset still shows it.
       const store = storeAfter([changeRecord(1, 0)])
-      store.noteFirstKept(5)
+      store.noteFirstRetainedOffset(5)
       t.true(store.hasGap())
-      store.take(changeRecord(5, 1))
+      store.applyRecord(changeRecord(5, 1))
       t.is(store.configuration().revision, 1)
       const peer = storeAfter([changeRecord(1, 0), changeRecord(2, 1), otherRecord(3), otherRecord(4)])
-      t.is(store.offer(peer.current()), OfferOutcome.Taken)
+      t.is(store.offerCopy(peer.current()), OfferOutcome.Taken)
       t.is(store.configuration().revision, 2)
       t.is(store.current().offset, 5)
     })
@@ -196,12 +197,12 @@
 
   describe('digest', () => {
     it('does not depend on the order of keys', t => {
-      const one = { b: 1, a: { d: [1, { y: 1, x: 2 }], c: null } }
-      const other = { a: { c: null, d: [1, { x: 2, y: 1 }] }, b: 1, absent: undefined }
-      t.is(canonicalJson(one), canonicalJson(other))
+      const value = { b: 1, a: { d: [1, { y: 1, x: 2 }], c: null } }
+      const reordered = { a: { c: null, d: [1, { x: 2, y: 1 }] }, b: 1, absent: undefined }
+      t.is(canonicalJson(value), canonicalJson(reordered))
     })
 
-    it('is the same for a configuration that went through JSON, and another for any change', t => {
+    it('stays the same through JSON and differs after any change', t => {
       const copy = JSON.parse(JSON.stringify(emptyConfiguration))
       t.is(digestOf(copy), digestOf(emptyConfiguration))
       t.not(digestOf({ ...copy, presetInForce: PresetName.Peaks }), digestOf(emptyConfiguration))
--- a/packages/foxtaillever-fleet/src/configuration/__tests__/publisher.test.ts
+++ b/packages/foxtaillever-fleet/src/configuration/__tests__/publisher.test.ts
@@ -1,7 +1,7 @@
 import { createPreset, PresetName, SeededRandom, type LogRecord } from 'foxtaillever-core'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { LogReader } from '../../log/logReader.js'
-import { AppendFate, FakeLog } from '../__fixtures__/fakeLog.js'
+import { AppendOutcome, FakeLog } from '../__fixtures__/fakeLog.js'
 import { ChangeKind, type Change } from '../change.js'
 import { ConfigurationStore } from '../configurationStore.js'
 import { PublicationOutcome, Publisher, type Publication } from '../publisher.js'
@@ -13,7 +13,7 @@
 function createInstance (log: FakeLog, clock: VirtualClock, seed: number) {
   const store = ConfigurationStore.create()
   const publisher = Publisher.create(log, store, clock, SeededRandom.create(seed))
-  const reader = LogReader.create(log, clock, [store.take, publisher.take])
+  const reader = LogReader.create(log, clock, [store.applyRecord, publisher.handleRecord])
   reader.start()
   return { store, publisher, reader }
 }
@@ -24,7 +24,7 @@
   return publisher.publish({ base, author, changes: [switchTo(preset)], deadline: clock.now() + WAIT_MS })
 }
 
-/** What the log itself says became of a publication. */
+/** The outcome of a publication according to the log. */
 function expectedOutcome (records: readonly LogRecord[], store: ConfigurationStore, { id }: Publication): PublicationOutcome {
   if (!records.some(record => record.id === id)) {
     return PublicationOutcome.Unknown
@@ -32,28 +32,28 @@
   return store.acceptedRevision(id) ? PublicationOutcome.Accepted : PublicationOutcome.Refused
 }
 
-const fates = Object.values(AppendFate)
-/** Which of two operators appends first, and whether the second waits until the first has been read. */
-const orders = [[0, 1, false], [1, 0, false], [0, 1, true], [1, 0, true]] as const
+const outcomes = Object.values(AppendOutcome)
+/** Which operator appends first, which second, and whether the second waits until the first record has been read. */
+const appendOrders = [[0, 1, false], [1, 0, false], [0, 1, true], [1, 0, true]] as const
 
 describe('Publisher', () => {
-  describe('two operators race', () => {
-    for (const first of fates) {
-      for (const second of fates) {
-        for (const [one, other, apart] of orders) {
-          it(`tells each the truth: ${first}, ${second}, order ${one}${other}${apart ? ' apart' : ''}`, async t => {
+  describe('two concurrent operators', () => {
+    for (const first of outcomes) {
+      for (const second of outcomes) {
+        for (const [former, latter, isApart] of appendOrders) {
+          it(`reports the outcome in the log: ${first}, ${second}, order ${former}${latter}${isApart ? ' apart' : ''}`, async t => {
             // Two operators change the same revision through two instances, and
-            // answers of the log get lost. Were one told "accepted" wrongly, or a
-            // record appended again, a preset would switch back by itself.
+            // answers of the log get lost. If a change were wrongly reported as
+            // accepted, or a record appended again, a preset would switch back by itself.
             const clock = VirtualClock.create()
             const log = FakeLog.create(clock)
             const instances = [createInstance(log, clock, 1), createInstance(log, clock, 2)] as const
             await clock.advanceBy(200)
-            log.decide(first, second)
+            log.setAppendOutcomes(first, second)
             const presets = [PresetName.Peaks, PresetName.Maintenance] as const
-            const publications = [publish(instances[one], clock, `operator-${one}`, presets[one], 0)]
-            await clock.advanceBy(apart ? 500 : 0)
-            publications.push(publish(instances[other], clock, `operator-${other}`, presets[other], 0))
+            const publications = [publish(instances[former], clock, `operator-${former}`, presets[former], 0)]
+            await clock.advanceBy(isApart ? 500 : 0)
+            publications.push(publish(instances[latter], clock, `operator-${latter}`, presets[latter], 0))
             await clock.advanceBy(WAIT_MS + 1000)
             const answers = await Promise.all(publications)
             const { store } = instances[0]
@@ -61,9 +61,9 @@
             t.true(accepted.length <= 1)
             t.true(log.appends <= 2)
             answers.forEach(answer => {
-              const expected = answer.outcome === PublicationOutcome.Refused && !log.all().some(({ id }) => id === answer.id)
+              const expected = answer.outcome === PublicationOutcome.Refused && !log.allRecords().some(({ id }) => id === answer.id)
                 ? PublicationOutcome.Refused
-                : expectedOutcome(log.all(), store, answer)
+                : expectedOutcome(log.allRecords(), store, answer)
               t.is(answer.outcome, expected)
             })
             answers.filter(answer => answer.outcome === PublicationOutcome.Refused).forEach(answer => {
@@ -77,7 +77,7 @@
     }
   })
 
-  it('says at once that nothing was published when the log is down', async t => {
+  it('reports at once that nothing was published when the log is down', async t => {
     const clock = VirtualClock.create()
     const log = FakeLog.create(clock)
     const instance = createInstance(log, clock, 1)
@@ -86,14 +86,14 @@
     t.is(answer.outcome, PublicationOutcome.NotPublished)
   })
 
-  it('finds its record when the log comes back within the deadline', async t => {
-    // The log takes the record and then goes down before it answers. The operator
-    // hears the truth once it can be read again, not a guess before.
+  it('finds its record when the log recovers within the deadline', async t => {
+    // The log appends the record and goes down before it answers. The operator gets
+    // the outcome when the log can be read again, not a guess before.
     const clock = VirtualClock.create()
     const log = FakeLog.create(clock)
     const instance = createInstance(log, clock, 1)
     await clock.advanceBy(200)
-    log.decide(AppendFate.AnswerLost)
+    log.setAppendOutcomes(AppendOutcome.AnswerLost)
     const answer = publish(instance, clock, 'operator', PresetName.Peaks)
     log.isDown = true
     await clock.advanceBy(3000)
@@ -103,9 +103,9 @@
     t.is((await answer).outcome, PublicationOutcome.Accepted)
   })
 
-  it('tells a refused operator the truth when a peer\'s copy overtook the reading', async t => {
-    // A copy taken from a peer jumps over the operator's record, so that the fold
-    // itself never sees it. Without the history the operator would wait in vain.
+  it('reports a refusal when a peer\'s copy overtook the reading of the log', async t => {
+    // A peer's copy jumps over the operator's record, so the store never folds that
+    // record. Without the history, the operator would get no outcome by the deadline.
     const clock = VirtualClock.create()
     const log = FakeLog.create(clock)
     const [slow, quick] = [createInstance(log, clock, 1), createInstance(log, clock, 2)]
@@ -114,8 +114,8 @@
     const won = publish(quick, clock, 'winner', PresetName.Maintenance)
     const lost = publish(slow, clock, 'loser', PresetName.Peaks)
     const copy = ConfigurationStore.create()
-    log.all().forEach(record => copy.take(record))
-    slow.store.offer(copy.current())
+    log.allRecords().forEach(record => copy.applyRecord(record))
+    slow.store.offerCopy(copy.current())
     t.is(slow.store.configuration().revision, 1)
     await clock.advanceBy(4000)
     t.is((await won).outcome, PublicationOutcome.Accepted)
@@ -124,8 +124,8 @@
     t.is(answer.author, 'winner')
   })
 
-  it('leaves a base ahead of its own fold to the log', async t => {
-    // The operator saw the revision through an instance that reads faster.
+  it('leaves the decision on a newer base to the log', async t => {
+    // The operator saw the newer revision through an instance that reads the log faster.
     const clock = VirtualClock.create()
     const log = FakeLog.create(clock)
     const [quick, slow] = [createInstance(log, clock, 1), createInstance(log, clock, 2)]
--- a/packages/foxtaillever-fleet/src/configuration/__tests__/pullSystem.test.ts
+++ b/packages/foxtaillever-fleet/src/configuration/__tests__/pullSystem.test.ts
@@ -15,31 +15,31 @@
 
 function storeAfter (count: number): ConfigurationStore {
   const store = ConfigurationStore.create()
-  records.slice(0, count).forEach(record => store.take(record))
+  records.slice(0, count).forEach(record => store.applyRecord(record))
   return store
 }
 
-/** A peer that is one change ahead, and counts what it is asked for. */
+/** A peer that is one change ahead and counts the requests it gets. */
 class AheadPeer implements Peers {
   readonly store = storeAfter(2)
-  changesAsked = 0
-  wholeAsked = 0
+  changesRequests = 0
+  configurationRequests = 0
 
-  private constructor (private readonly whileAsked: () => void) {}
+  private constructor (private readonly beforeResponse: () => void) {}
 
-  /** @param whileAsked runs between the question and its answer. */
-  static create (whileAsked: () => void = () => {}): AheadPeer {
-    return new AheadPeer(whileAsked)
+  /** @param beforeResponse runs between a request for changes and its response. */
+  static create (beforeResponse: () => void = () => {}): AheadPeer {
+    return new AheadPeer(beforeResponse)
   }
 
   async changes (_address: string, revision: number): ReturnType<NonNullable<Peers['changes']>> {
-    this.changesAsked += 1
-    this.whileAsked()
+    this.changesRequests += 1
+    this.beforeResponse()
     return Right(this.store.changesSince(revision) as NonNullable<ReturnType<ConfigurationStore['changesSince']>>)
   }
 
   async configuration (): ReturnType<Peers['configuration']> {
-    this.wholeAsked += 1
+    this.configurationRequests += 1
     return Right(this.store.current())
   }
 
@@ -48,40 +48,40 @@
   }
 }
 
-function hearAhead (store: ConfigurationStore, peer: AheadPeer): void {
+function receiveNewerPosition (store: ConfigurationStore, peer: AheadPeer): void {
   const clock = VirtualClock.create()
   const { configuration: { revision }, offset, digest } = peer.store.current()
-  // The log has been silent for long, so there is no grace.
-  PullSystem.create(store, { peers: peer, clock, logAnsweredAt: () => 0 }).hear('peer', { revision, offset, digest })
+  // The log has not answered for long, so there is no grace period.
+  PullSystem.create(store, { peers: peer, clock, logAnsweredAt: () => 0 }).receivePosition('peer', { revision, offset, digest })
 }
 
-describe('an instance that hears of a newer configuration while the log is silent', () => {
-  it('asks for the changes alone', async t => {
+describe('an instance that learns of a newer configuration while the log does not answer', () => {
+  it('requests only the changes', async t => {
     const store = storeAfter(1)
     const peer = AheadPeer.create()
-    hearAhead(store, peer)
+    receiveNewerPosition(store, peer)
     await settle()
     t.is(store.configuration().revision, 2)
-    t.deepEqual([peer.changesAsked, peer.wholeAsked], [1, 0])
+    t.deepEqual([peer.changesRequests, peer.configurationRequests], [1, 0])
   })
 
-  it('asks for the whole when it knows nothing', async t => {
+  it('requests the whole configuration when it has none', async t => {
     const store = ConfigurationStore.create()
     const peer = AheadPeer.create()
-    hearAhead(store, peer)
+    receiveNewerPosition(store, peer)
     await settle()
     t.is(store.configuration().revision, 2)
-    t.deepEqual([peer.changesAsked, peer.wholeAsked], [0, 1])
+    t.deepEqual([peer.changesRequests, peer.configurationRequests], [0, 1])
   })
 
-  it('does not fetch the whole when the log delivers the change meanwhile', async t => {
-    // The log comes back just while the peer answers. At the two-year size each
-    // of 380 instances would fetch 624 KB for nothing, all at the same moment.
+  it('does not fetch the whole configuration when the log delivers the change meanwhile', async t => {
+    // The log recovers while the peer answers. At the two-year size, each of 380
+    // instances would needlessly fetch 624 KB at the same moment.
     const store = storeAfter(1)
-    const peer = AheadPeer.create(() => store.take(records[1] as LogRecord))
-    hearAhead(store, peer)
+    const peer = AheadPeer.create(() => store.applyRecord(records[1] as LogRecord))
+    receiveNewerPosition(store, peer)
     await settle()
     t.is(store.configuration().revision, 2)
-    t.deepEqual([peer.changesAsked, peer.wholeAsked], [1, 0])
+    t.deepEqual([peer.changesRequests, peer.configurationRequests], [1, 0])
   })
 })
--- a/packages/foxtaillever-fleet/src/configuration/__tests__/snapshotWriter.test.ts
+++ b/packages/foxtaillever-fleet/src/configuration/__tests__/snapshotWriter.test.ts
@@ -12,7 +12,7 @@
 function createInstance (log: FakeLog, clock: VirtualClock, seed: number) {
   const store = ConfigurationStore.create()
   const snapshots = SnapshotWriter.create(log, store, clock, SeededRandom.create(seed), RETENTION_MS)
-  const reader = LogReader.create(log, clock, [store.take, snapshots.take])
+  const reader = LogReader.create(log, clock, [store.applyRecord, snapshots.handleRecord])
   const tick = (): void => {
     snapshots.tick()
     clock.at(clock.now() + TICK_MS, tick)
@@ -30,35 +30,35 @@
 }
 
 describe('SnapshotWriter', () => {
-  it('keeps the configuration in the log through many retentions, seldom twice', async t => {
-    // Records expire. If no instance wrote the configuration again in time, a
-    // fleet that restarts would find a log without one and serve nobody.
+  it('keeps the configuration in the log over many retention periods with few duplicates', async t => {
+    // Records expire. If no instance wrote a snapshot in time, a fleet that restarts
+    // would find no configuration in the log and could serve no request.
     const clock = VirtualClock.create()
     const log = await createLog(clock)
     const instances = [1, 2, 3, 4, 5].map(seed => createInstance(log, clock, seed))
     for (let step = 0; step < 20; step += 1) {
       await clock.advanceBy(RETENTION_MS / 4)
-      const kept = log.all().find(record => record.appendedAt > clock.now() - RETENTION_MS)
+      const kept = log.allRecords().find(record => record.appendedAt > clock.now() - RETENTION_MS)
       log.expireBelow(kept?.offset ?? Infinity)
     }
     const fresh = createInstance(log, clock, 9)
     await clock.advanceBy(500)
     t.is(fresh.store.current().digest, instances[0]!.store.current().digest)
     const written = instances.reduce((sum, { snapshots }) => sum + snapshots.writtenCount(), 0)
-    // Five retentions, each with three snapshots due at most.
+    // Five retention periods with at most three snapshots due in each.
     t.true(written >= 10 && written <= 20, `written ${written}`)
   })
 
-  it('tries again after an outage of the log that hid the moment it was due', async t => {
+  it('writes a due snapshot after an outage of the log', async t => {
     const clock = VirtualClock.create()
     const log = await createLog(clock)
     createInstance(log, clock, 1)
     await clock.advanceBy(1000)
     log.isDown = true
     await clock.advanceBy(RETENTION_MS / 2)
-    t.is(log.all().length, 1)
+    t.is(log.allRecords().length, 1)
     log.isDown = false
     await clock.advanceBy(11_000)
-    t.true(log.all().some(record => record.kind === RecordKind.Snapshot))
+    t.true(log.allRecords().some(record => record.kind === RecordKind.Snapshot))
   })
 })
--- a/packages/foxtaillever-fleet/src/configuration/change.ts
+++ b/packages/foxtaillever-fleet/src/configuration/change.ts
@@ -1,5 +1,5 @@
 /**
- * Typed changes of configuration, as they stand in the log.
+ * Typed changes of configuration, as records of the log contain them.
  */
 import { PresetName, type BackendServer, type ClientAccount, type Configuration, type Model, type PlainService, type Preset } from 'foxtaillever-core'
 import type { AcceptedRevision } from './foldedConfiguration.js'
@@ -31,7 +31,7 @@
 
 /** Body of a configuration record. */
 export interface ConfigurationRecord {
-  /** Revision the author saw; the fold refuses the record when it is no longer in force. */
+  /** The revision that the author saw; the fold refuses the record if another revision is in force by then. */
   readonly base: number
   readonly author: string
   readonly changes: readonly Change[]
@@ -40,16 +40,16 @@
 /** Body of a snapshot record: the whole configuration, revision included. */
 export interface SnapshotRecord {
   readonly configuration: Configuration
-  /** Every record up to this offset is folded in; later ones must be folded on top. */
+  /** All records up to this offset are folded in; later records must be folded on top. */
   readonly offset?: number
   readonly digest?: string
   readonly history?: readonly AcceptedRevision[]
 }
 
 /**
- * A configuration while one record's changes are put in. Tables are copied once
- * a record: a first record of thousands of entries, with a copy for each, would
- * hold the one thread for seconds.
+ * A mutable copy of a configuration, to which one record's changes are applied.
+ * Tables are copied once per record: with a copy per change, a first record of
+ * thousands of entries would block the event loop for seconds.
  */
 interface Draft {
   readonly accounts: Record<string, ClientAccount>
@@ -79,8 +79,8 @@
   [ChangeKind.SwitchPreset]: (draft, { name }) => { draft.presetInForce = name }
 }
 
-/** What a change has to name before it is applied; checked alike by every reader. */
-const subjects: Record<ChangeKind, (change: Change) => unknown> = {
+/** Name of the entry that a change targets. Every reader checks it before it applies the change. */
+const targetNames: Record<ChangeKind, (change: Change) => unknown> = {
   [ChangeKind.PutAccount]: change => (change as { account?: ClientAccount }).account?.name,
   [ChangeKind.RemoveAccount]: change => (change as { name?: string }).name,
   [ChangeKind.PutServer]: change => (change as { server?: BackendServer }).server?.name,
@@ -97,19 +97,19 @@
 const presetNames: ReadonlySet<unknown> = new Set(Object.values(PresetName))
 
 /**
- * Whether a change can be applied at all. A record that names no such kind,
- * entry or preset would leave every instance without a preset in force at the
- * same moment; it is refused by all of them instead.
+ * Whether a change can be applied. A change of an unknown kind, without an entry's
+ * name, or of an unknown preset could leave every instance without a preset in
+ * force at the same moment, so all instances refuse its record.
  */
 export function isApplicable (change: Change): boolean {
-  const subject = subjects[change?.kind]?.(change)
+  const subject = targetNames[change?.kind]?.(change)
   if (typeof subject !== 'string' || subject === '') {
     return false
   }
   return !presetKinds.has(change.kind) || presetNames.has(subject)
 }
 
-/** The configuration with the changes put in, in their order. */
+/** Returns the configuration with the changes applied in order. */
 export function applyChanges (configuration: Configuration, changes: readonly Change[]): Configuration {
   const draft = createDraft(configuration)
   for (const change of changes) {
--- a/packages/foxtaillever-fleet/src/configuration/configurationStore.ts
+++ b/packages/foxtaillever-fleet/src/configuration/configurationStore.ts
@@ -1,34 +1,33 @@
 /**
- * Holds the folded configuration of this instance. It moves forward only:
- * records that were read before, old snapshots and copies of peers that lag
- * change nothing, so a configuration that has been in force here never
- * reverts.
+ * Holds the folded configuration of this instance. It only moves forward:
+ * records that were already read, old snapshots and outdated copies of peers
+ * change nothing, so the configuration in force never reverts to an older one.
  */
 import { RecordKind, type Configuration, type LogRecord } from 'foxtaillever-core'
 import type { ConfigurationRecord, SnapshotRecord } from './change.js'
 import { digestOf } from './digest.js'
 import { foldConfiguration, FoldOutcome } from './foldConfiguration.js'
-import { appendHistory, HISTORY_LENGTH, isIntact, nothingFolded, type AcceptedRevision, type ConfigurationChanges, type FoldedConfiguration } from './foldedConfiguration.js'
+import { appendHistory, HISTORY_LENGTH, isIntact, emptyFold, type AcceptedRevision, type ConfigurationChanges, type FoldedConfiguration } from './foldedConfiguration.js'
 import { RecordBacklog } from './recordBacklog.js'
 
-/** What became of a copy that a peer offered. */
+/** Result of offering a peer's copy to the store. */
 export enum OfferOutcome {
   Taken = 'taken',
   Older = 'older',
-  /** Its digest is not that of its contents. */
+  /** The digest does not match the contents. */
   Damaged = 'damaged',
-  /** It contradicts what is folded here; only a fault brings this about. */
+  /** The copy contradicts the configuration folded here, which only a fault can cause. */
   Divergent = 'divergent'
 }
 
 export type ConfigurationListener = (folded: FoldedConfiguration) => void
 
 export class ConfigurationStore {
-  private folded = nothingFolded
+  private folded = emptyFold
   private readonly backlog = RecordBacklog.create()
   private readonly listeners = new Set<ConfigurationListener>()
-  /** The last accepted records, for peers that are behind. */
-  private recent: readonly LogRecord[] = []
+  /** The last accepted records, for peers that are a few revisions behind. */
+  private recentRecords: readonly LogRecord[] = []
   private divergences = 0
 
   private constructor () {}
@@ -37,7 +36,7 @@
     return new ConfigurationStore()
   }
 
-  /** The configuration in force here. */
+  /** The configuration in force on this instance. */
   configuration (): Configuration {
     return this.folded.configuration
   }
@@ -46,17 +45,17 @@
     return this.folded
   }
 
-  /** Whether any configuration has been folded; without one nothing can be served. */
-  isKnown (): boolean {
+  /** Whether any configuration has been folded; without one the instance can serve no request. */
+  hasConfiguration (): boolean {
     return this.folded.configuration.revision > 0
   }
 
-  /** Whether records are missing between what is folded and what the log still keeps. */
+  /** Whether records are missing between the folded offset and the records that the log still retains. */
   hasGap (): boolean {
     return !this.backlog.isEmpty()
   }
 
-  /** Times that a peer's copy or a snapshot contradicted this fold. */
+  /** How often a peer's copy or a snapshot contradicted the configuration folded here. */
   divergenceCount (): number {
     return this.divergences
   }
@@ -67,29 +66,29 @@
     return () => { this.listeners.delete(listener) }
   }
 
-  /** Folds one record; a reader of the log, called in order of offsets. */
-  readonly take = (record: LogRecord): void => {
+  /** Folds one record. The log reader calls it in order of offsets. */
+  readonly applyRecord = (record: LogRecord): void => {
     if (record.offset <= this.folded.offset) {
       return
     }
     if (record.offset === this.folded.offset + 1 && this.backlog.isEmpty()) {
-      this.moveTo(this.fold(this.folded, record))
-      this.remember([record])
+      this.advanceTo(this.fold(this.folded, record))
+      this.appendRecent([record])
       return
     }
     this.backlog.add(record)
     this.closeGap(record)
   }
 
-  /** Hears from the log's reader that records before this offset are gone unread. */
-  readonly noteFirstKept = (first: number): void => {
+  /** Called by the log reader when records before this offset expired before they were read. */
+  readonly noteFirstRetainedOffset = (first: number): void => {
     if (first > this.folded.offset + 1) {
-      this.backlog.startAt(first)
+      this.backlog.startRunAt(first)
     }
   }
 
-  /** Takes a peer's copy when it stands further on in the log than this fold. */
-  offer (copy: FoldedConfiguration): OfferOutcome {
+  /** Adopts a peer's copy if its offset is above the folded offset. */
+  offerCopy (copy: FoldedConfiguration): OfferOutcome {
     if (!isIntact(copy)) {
       return OfferOutcome.Damaged
     }
@@ -100,19 +99,19 @@
     if (copy.offset <= this.folded.offset) {
       return OfferOutcome.Older
     }
-    this.moveTo(this.withBacklog(copy))
+    this.advanceTo(this.foldBacklogOnto(copy))
     return OfferOutcome.Taken
   }
 
-  /** What was accepted since the revision, if it does not lie too far back. */
+  /** Records accepted since the revision; undefined when the recent records do not reach back to it. */
   changesSince (revision: number): ConfigurationChanges | undefined {
-    const start = this.recent.findIndex(record => (record.body as ConfigurationRecord).base === revision)
+    const start = this.recentRecords.findIndex(record => (record.body as ConfigurationRecord).base === revision)
     const { configuration, offset, digest } = this.folded
-    const records = this.recent.slice(start)
+    const records = this.recentRecords.slice(start)
     return start >= 0 && records.at(-1)?.offset === configuration.revision ? { records, offset, digest } : undefined
   }
 
-  /** Folds a peer's changes on top of what is folded here; taken only when they end at the peer's digest. */
+  /** Folds a peer's changes on top of the configuration here, and adopts the result only if its digest is the peer's. */
   offerChanges ({ records, offset, digest }: ConfigurationChanges): OfferOutcome {
     const first = records[0]?.body as ConfigurationRecord | undefined
     if (offset <= this.folded.offset || first?.base !== this.folded.configuration.revision) {
@@ -122,29 +121,29 @@
     if (folded.digest !== digest) {
       return OfferOutcome.Damaged
     }
-    const outcome = this.offer({ ...folded, offset })
-    this.remember(records)
+    const outcome = this.offerCopy({ ...folded, offset })
+    this.appendRecent(records)
     return outcome
   }
 
-  /** The accepted record with this id, as far back as the history goes. */
+  /** The accepted record with this id, if the history still contains it. */
   acceptedRevision (id: string): AcceptedRevision | undefined {
     return this.folded.history.find(accepted => accepted.id === id)
   }
 
-  /** Whether the history would still show a record accepted at this offset. */
-  remembers (offset: number): boolean {
+  /** Whether the history reaches back to this offset, so that it would show a record accepted there. */
+  historyReaches (offset: number): boolean {
     const oldest = this.folded.history[0]
     return this.folded.history.length < HISTORY_LENGTH || (oldest !== undefined && oldest.revision <= offset)
   }
 
   private contradicts (copy: FoldedConfiguration): boolean {
-    const ahead = copy.offset - this.folded.offset
-    const newer = copy.configuration.revision - this.folded.configuration.revision
-    if (newer === 0) {
+    const offsetsAhead = copy.offset - this.folded.offset
+    const revisionsAhead = copy.configuration.revision - this.folded.configuration.revision
+    if (revisionsAhead === 0) {
       return copy.digest !== this.folded.digest
     }
-    return ahead > 0 ? newer < 0 : copy.configuration.revision > this.folded.configuration.revision
+    return offsetsAhead > 0 ? revisionsAhead < 0 : copy.configuration.revision > this.folded.configuration.revision
   }
 
   private fold (folded: FoldedConfiguration, record: LogRecord): FoldedConfiguration {
@@ -160,40 +159,40 @@
     return { configuration, offset: record.offset, digest: digestOf(configuration), history }
   }
 
-  /** Resumes after a gap when the record is a snapshot that covers it. */
+  /** Closes the gap if the record is a snapshot that covers it. */
   private closeGap (record: LogRecord): void {
     if (record.kind !== RecordKind.Snapshot) {
       return
     }
-    const copy = toFolded(record.body as SnapshotRecord)
-    if (copy === undefined || !isIntact(copy) || !this.backlog.joins(copy.offset)) {
+    const copy = toFoldedConfiguration(record.body as SnapshotRecord)
+    if (copy === undefined || !isIntact(copy) || !this.backlog.connectsTo(copy.offset)) {
       return
     }
     if (copy.configuration.revision < this.folded.configuration.revision) {
       this.divergences += 1
       return
     }
-    this.moveTo(this.withBacklog(copy))
+    this.advanceTo(this.foldBacklogOnto(copy))
   }
 
-  private withBacklog (copy: FoldedConfiguration): FoldedConfiguration {
-    if (!this.backlog.joins(copy.offset)) {
+  private foldBacklogOnto (copy: FoldedConfiguration): FoldedConfiguration {
+    if (!this.backlog.connectsTo(copy.offset)) {
       return copy
     }
     const reached = Math.max(copy.offset, this.backlog.lastOffset())
-    const folded = this.backlog.takeAbove(copy.offset).reduce((state, record) => this.fold(state, record), copy)
+    const folded = this.backlog.drainAbove(copy.offset).reduce((state, record) => this.fold(state, record), copy)
     return { ...folded, offset: reached }
   }
 
-  /** Keeps records that were accepted; after a jump the chain is broken, and peers then take the whole. */
-  private remember (records: readonly LogRecord[]): void {
+  /** Keeps accepted records for peers. After a jump their chain is broken, and peers fetch the whole configuration. */
+  private appendRecent (records: readonly LogRecord[]): void {
     const accepted = records.filter(({ offset }) => this.folded.history.some(({ revision }) => revision === offset))
     if (accepted.length > 0) {
-      this.recent = [...this.recent, ...accepted].slice(-HISTORY_LENGTH)
+      this.recentRecords = [...this.recentRecords, ...accepted].slice(-HISTORY_LENGTH)
     }
   }
 
-  private moveTo (folded: FoldedConfiguration): void {
+  private advanceTo (folded: FoldedConfiguration): void {
     const changed = folded.configuration.revision !== this.folded.configuration.revision
     this.folded = folded
     if (changed) {
@@ -202,7 +201,7 @@
   }
 }
 
-function toFolded (snapshot: SnapshotRecord): FoldedConfiguration | undefined {
+function toFoldedConfiguration (snapshot: SnapshotRecord): FoldedConfiguration | undefined {
   if (snapshot?.offset === undefined || snapshot.digest === undefined) {
     return undefined
   }
--- a/packages/foxtaillever-fleet/src/configuration/digest.ts
+++ b/packages/foxtaillever-fleet/src/configuration/digest.ts
@@ -1,12 +1,12 @@
 /**
- * A digest of the configuration that is the same on every instance, whatever
- * the order in which keys were put in. Two instances with one revision and
- * different digests have diverged, which only a fault can bring about.
+ * A digest of the configuration that does not depend on the order in which keys
+ * were inserted. Two instances with the same revision and different digests have
+ * diverged, which only a fault can cause.
  */
 import { createHash } from 'node:crypto'
 import type { Configuration } from 'foxtaillever-core'
 
-/** JSON with the keys of every object in order, and without absent values. */
+/** JSON with the keys of every object sorted and undefined values left out. */
 export function canonicalJson (value: unknown): string {
   if (Array.isArray(value)) {
     return `[${value.map(canonicalJson).join(',')}]`
@@ -27,9 +27,9 @@
 }
 
 /**
- * Digests of single entries. Entries are never changed in place, so a change
- * of one account leaves the digests of all others valid; without this a change
- * among 1,700 accounts would hold the one thread for milliseconds.
+ * Digests of single entries. Entries are never changed in place, so the digests
+ * of unchanged entries stay valid. Without this cache, a change of one of 1,700
+ * accounts would block the event loop for milliseconds.
  */
 const entryDigests = new WeakMap<object, string>()
 
@@ -49,7 +49,7 @@
     .map(name => `${title} ${JSON.stringify(name)} ${digestOfEntry(entries[name]!)}`)
 }
 
-/** SHA-256 over the revision, every entry and the preset in force, hexadecimal. */
+/** SHA-256 of the revision, all entries and the preset in force, in hexadecimal. */
 export function digestOf (configuration: Configuration): string {
   const lines = [
     `revision ${configuration.revision}`,
--- a/packages/foxtaillever-fleet/src/configuration/foldConfiguration.ts
+++ b/packages/foxtaillever-fleet/src/configuration/foldConfiguration.ts
@@ -1,18 +1,18 @@
 /**
- * The deterministic fold of configuration records. Every reader that has read
- * to the same offset holds the same configuration; that is the agreement
- * between instances, without any vote of ours.
+ * The deterministic fold of configuration records. Instances that have read the
+ * log up to the same offset hold the same configuration, so they agree without a
+ * consensus protocol of their own.
  */
 import { RecordKind, type Configuration, type LogRecord } from 'foxtaillever-core'
 import { applyChanges, isApplicable, type ConfigurationRecord, type SnapshotRecord } from './change.js'
 
-/** What became of one record. */
+/** Result of folding one record. */
 export enum FoldOutcome {
   Accepted = 'accepted',
-  /** It builds on a revision that was no longer in force (another operator was first), or cannot be applied. */
+  /** The record builds on a revision that is no longer in force (another operator was first), or cannot be applied. */
   Refused = 'refused',
-  /** Not a configuration record, or one already covered. */
-  Passed = 'passed'
+  /** Neither a configuration record nor a snapshot, or a snapshot that is no newer than the configuration. */
+  Skipped = 'skipped'
 }
 
 export interface FoldStep {
@@ -35,7 +35,7 @@
 function foldSnapshot (configuration: Configuration, record: LogRecord): FoldStep {
   const body = record.body as SnapshotRecord
   if (!(body?.configuration?.revision > configuration.revision)) {
-    return { configuration, outcome: FoldOutcome.Passed }
+    return { configuration, outcome: FoldOutcome.Skipped }
   }
   return { configuration: body.configuration, outcome: FoldOutcome.Accepted }
 }
@@ -47,5 +47,5 @@
 
 export function foldConfiguration (configuration: Configuration, record: LogRecord): FoldStep {
   const handler = handlers[record.kind]
-  return handler ? handler(configuration, record) : { configuration, outcome: FoldOutcome.Passed }
+  return handler ? handler(configuration, record) : { configuration, outcome: FoldOutcome.Skipped }
 }
--- a/packages/foxtaillever-fleet/src/configuration/foldedConfiguration.ts
+++ b/packages/foxtaillever-fleet/src/configuration/foldedConfiguration.ts
@@ -1,6 +1,6 @@
 /**
- * A configuration together with where in the log it stands, as instances keep
- * it, pass it on to each other and write it into snapshot records.
+ * A configuration with its offset in the log, as instances keep it, send it to
+ * each other and write it into snapshot records.
  */
 import { emptyConfiguration, type Configuration, type LogRecord } from 'foxtaillever-core'
 import { digestOf } from './digest.js'
@@ -10,16 +10,16 @@
   /** Offset of the record. */
   readonly revision: number
   readonly author: string
-  /** The record's own id, by which a publisher finds it again. */
+  /** Id of the record, by which its publisher finds it in the log. */
   readonly id: string
 }
 
-/** Accepted records kept beside the configuration; more than operators make in an hour. */
+/** Accepted records kept with the configuration; more than operators publish in an hour. */
 export const HISTORY_LENGTH = 64
 
 export interface FoldedConfiguration {
   readonly configuration: Configuration
-  /** Every record up to this offset has been folded in. */
+  /** All records up to this offset are folded in. */
   readonly offset: number
   readonly digest: string
   /** The last accepted records, oldest first. */
@@ -27,18 +27,18 @@
 }
 
 /**
- * What a peer that is a few revisions behind needs: some hundred bytes in place
- * of the whole configuration's hundreds of thousands.
+ * The changes that a peer a few revisions behind needs: some hundred bytes instead
+ * of hundreds of thousands for the whole configuration.
  */
 export interface ConfigurationChanges {
-  /** Accepted records in order; the first builds on the peer's revision. */
+  /** Accepted records in order; the first one builds on the revision of the peer that is behind. */
   readonly records: readonly LogRecord[]
-  /** Where the fold stands after them. */
+  /** The folded offset after these records. */
   readonly offset: number
   readonly digest: string
 }
 
-export const nothingFolded: FoldedConfiguration = {
+export const emptyFold: FoldedConfiguration = {
   configuration: emptyConfiguration,
   offset: 0,
   digest: digestOf(emptyConfiguration),
@@ -49,7 +49,7 @@
   return [...history, accepted].slice(-HISTORY_LENGTH)
 }
 
-/** Whether the copy's digest is that of its contents and its numbers agree. */
+/** Whether the copy's digest matches its contents and its revision is not above its offset. */
 export function isIntact (copy: FoldedConfiguration): boolean {
   return copy.configuration.revision <= copy.offset && digestOf(copy.configuration) === copy.digest
 }
--- a/packages/foxtaillever-fleet/src/configuration/inForceSystem.ts
+++ b/packages/foxtaillever-fleet/src/configuration/inForceSystem.ts
@@ -1,7 +1,7 @@
 /**
  * Finds out which instances have a revision in force, for an operator who
- * waits for it. Members say their revision in every message; those not heard
- * since are probed, some at each tick, and only by the instance that was asked.
+ * waits for it. Members state their revision in every message. The instance that
+ * got the operator's call probes some of the members without the revision each tick.
  */
 import type { Clock } from 'foxtaillever-core'
 import type { Membership } from '../membership/membership.js'
@@ -9,16 +9,16 @@
 import type { Member } from '../membership/member.js'
 import type { ConfigurationStore } from './configurationStore.js'
 
-/** Members probed each tick for one wait; 380 are through in three seconds at 13 KB/s. */
+/** Members probed per tick for one wait; this probes 380 members within three seconds at 13 KB/s. */
 const PROBES_PER_TICK = 64
 
-/** What an operator hears who waits for a revision. */
+/** Reply to an operator who waits for a revision. */
 export interface InForce {
   readonly revision: number
-  /** Members alive, this instance included. */
+  /** Number of live members, this instance included. */
   readonly live: number
   readonly inForce: number
-  /** Names of live members not known to have it. */
+  /** Names of live members that are not known to have the revision. */
   readonly missing: readonly string[]
 }
 
@@ -41,27 +41,27 @@
     return new InForceSystem(store, membership, probes, clock)
   }
 
-  /** Answers when all live members have the revision, at the latest at the deadline. */
-  async wait (revision: number, deadline: number): Promise<InForce> {
+  /** Resolves when all live members have the revision, at the latest at the deadline. */
+  async waitForRevision (revision: number, deadline: number): Promise<InForce> {
     return await new Promise<InForce>(resolve => {
       const wait: Wait = {
         revision,
         finish: inForce => {
-          // A timer left behind would hold up the end of the process until the deadline.
+          // A timer left running would keep the process from ending until the deadline.
           cancel()
           resolve(inForce)
         }
       }
       const cancel = this.clock.at(deadline, () => this.finish(wait))
       this.waits.add(wait)
-      this.serve(wait)
+      this.finishOrProbe(wait)
     })
   }
 
-  /** Looks whether a member's word was the last one missing. */
-  hear (): void {
+  /** Called after each message: finishes the waits whose revision all live members have. */
+  finishCompleteWaits (): void {
     for (const wait of this.waits) {
-      if (this.missing(wait.revision).length === 0) {
+      if (this.membersWithout(wait.revision).length === 0) {
         this.finish(wait)
       }
     }
@@ -69,11 +69,11 @@
 
   /** Run each tick. */
   tick (): void {
-    this.waits.forEach(wait => this.serve(wait))
+    this.waits.forEach(wait => this.finishOrProbe(wait))
   }
 
-  private serve (wait: Wait): void {
-    const missing = this.missing(wait.revision)
+  private finishOrProbe (wait: Wait): void {
+    const missing = this.membersWithout(wait.revision)
     if (missing.length === 0) {
       this.finish(wait)
       return
@@ -86,7 +86,7 @@
       return
     }
     const live = this.membership.table.alive().length
-    const names = this.missing(wait.revision).map(member => member.name)
+    const names = this.membersWithout(wait.revision).map(member => member.name)
     wait.finish({ revision: wait.revision, live, inForce: live - names.length, missing: names })
   }
 
@@ -96,7 +96,7 @@
     }
   }
 
-  private missing (revision: number): readonly Member[] {
+  private membersWithout (revision: number): readonly Member[] {
     return this.membership.table.alive().filter(member => this.revisionOf(member) < revision)
   }
 
--- a/packages/foxtaillever-fleet/src/configuration/pullSystem.ts
+++ b/packages/foxtaillever-fleet/src/configuration/pullSystem.ts
@@ -1,21 +1,21 @@
 /**
- * Takes the configuration from a peer when this instance has fallen behind:
+ * Pulls the configuration from a peer when this instance has fallen behind:
  * after a restart while the log is down, or when the log is slow. Each message
- * names its sender's revision, so an instance hears of a newer one within a
- * tick or two.
+ * contains its sender's revision, so an instance learns of a newer revision
+ * within one or two ticks.
  */
 import type { Clock } from 'foxtaillever-core'
 import type { Peers } from '../membership/peers.js'
 import type { ConfigurationPosition } from '../membership/member.js'
 import { OfferOutcome, type ConfigurationStore } from './configurationStore.js'
 
-/** How long the log may take to deliver what a peer already has, milliseconds. */
+/** How long the log may take to deliver a revision that a peer already has, milliseconds. */
 const GRACE_MS = 1000
 
-/** Past this age of its last answer the log counts as down, milliseconds; twice the wait of a read. */
-const LOG_SILENCE_MS = 4000
+/** Time without an answer after which the log counts as down, milliseconds; twice the wait of a read. */
+const LOG_TIMEOUT_MS = 4000
 
-/** Pause before the next try, milliseconds. */
+/** Delay before the next attempt, milliseconds. */
 const RETRY_MS = 500
 
 export interface PullParts {
@@ -32,11 +32,11 @@
 
 export class PullSystem {
   private candidate: Candidate | undefined
-  /** When to fetch, milliseconds of Unix time. */
-  private deadline = Infinity
-  /** No try before this instant, milliseconds of Unix time. */
+  /** When to pull, milliseconds of Unix time. */
+  private pullAt = Infinity
+  /** No attempt is made before this time, milliseconds of Unix time. */
   private retryAt = 0
-  private busy = false
+  private isPulling = false
   private pulled = 0
 
   private constructor (private readonly store: ConfigurationStore, private readonly parts: PullParts) {}
@@ -49,36 +49,36 @@
     return this.pulled
   }
 
-  /** Notes what a peer says of its configuration. */
-  hear (address: string, position: ConfigurationPosition): void {
+  /** Handles a peer's statement of its position in the configuration log. */
+  receivePosition (address: string, position: ConfigurationPosition): void {
     if (!this.isAhead(position)) {
       return
     }
     if (this.candidate === undefined || position.offset > this.candidate.position.offset) {
       this.candidate = { address, position }
     }
-    const due = Math.max(this.retryAt, this.parts.clock.now() + this.grace())
-    this.deadline = Math.min(this.deadline, due)
+    const due = Math.max(this.retryAt, this.parts.clock.now() + this.gracePeriod())
+    this.pullAt = Math.min(this.pullAt, due)
     this.tick()
   }
 
   /** Run each tick. */
   tick (): void {
     const { candidate } = this
-    if (candidate === undefined || this.busy || this.parts.clock.now() < this.deadline) {
+    if (candidate === undefined || this.isPulling || this.parts.clock.now() < this.pullAt) {
       return
     }
     this.candidate = undefined
-    this.deadline = Infinity
+    this.pullAt = Infinity
     if (this.isAhead(candidate.position)) {
-      this.pull(candidate).catch(() => {}).finally(() => { this.busy = false })
+      this.pull(candidate).catch(() => {}).finally(() => { this.isPulling = false })
     }
   }
 
-  /** Without any configuration, or a log to wait for, there is no reason to wait. */
-  private grace (): number {
-    const logAnswers = this.parts.clock.now() - this.parts.logAnsweredAt() < LOG_SILENCE_MS
-    return this.store.isKnown() && logAnswers ? GRACE_MS : 0
+  /** No grace without a configuration, or while the log is down. */
+  private gracePeriod (): number {
+    const logAnswers = this.parts.clock.now() - this.parts.logAnsweredAt() < LOG_TIMEOUT_MS
+    return this.store.hasConfiguration() && logAnswers ? GRACE_MS : 0
   }
 
   private isAhead ({ revision, offset }: ConfigurationPosition): boolean {
@@ -87,7 +87,7 @@
   }
 
   private async pull ({ address }: Candidate): Promise<void> {
-    this.busy = true
+    this.isPulling = true
     if (await this.pullChanges(address)) {
       return
     }
@@ -96,14 +96,14 @@
       Left: () => { this.retryAt = this.parts.clock.now() + RETRY_MS },
       Right: copy => {
         this.pulled += 1
-        this.store.offer(copy)
+        this.store.offerCopy(copy)
       }
     })
   }
 
-  /** Tries with the changes alone; an instance that knows nothing needs the whole. */
+  /** Tries to pull only the changes; an instance without a configuration, or with a gap, needs the whole. */
   private async pullChanges (address: string): Promise<boolean> {
-    if (!this.store.isKnown() || this.store.hasGap()) {
+    if (!this.store.hasConfiguration() || this.store.hasGap()) {
       return false
     }
     const answer = await this.parts.peers.changes?.(address, this.store.configuration().revision)
--- a/packages/foxtaillever-fleet/src/configuration/recordBacklog.ts
+++ b/packages/foxtaillever-fleet/src/configuration/recordBacklog.ts
@@ -1,18 +1,19 @@
 /**
- * Records that stand behind a gap. When the log's first kept offset lies above
- * what an instance has folded, the records between are lost to it, and folding
- * on would accept changes that every other instance refused. They wait here
- * until a snapshot, or a peer's copy, covers the gap.
+ * Records read after a gap. When the first offset that the log retains is above the
+ * next one that an instance has to fold, the records between are lost to the
+ * instance. If it folded the later records, it could accept changes that all other
+ * instances refused. Later records therefore wait here until a snapshot or a peer's
+ * copy covers the gap.
  */
 import { RecordKind, type LogRecord } from 'foxtaillever-core'
 
-/** Kinds that the fold of the configuration looks at. */
+/** Kinds of records that the fold of the configuration reads. */
 const foldedKinds: ReadonlySet<RecordKind> = new Set([RecordKind.Configuration, RecordKind.Snapshot])
 
 export class RecordBacklog {
   private records: LogRecord[] = []
-  private from = 0
-  private last = 0
+  private firstOffset = 0
+  private newestOffset = 0
 
   private constructor () {}
 
@@ -21,53 +22,53 @@
   }
 
   isEmpty (): boolean {
-    return this.from === 0
+    return this.firstOffset === 0
   }
 
-  /** Starts a run at the first offset still kept, before any record of it is read. */
-  startAt (first: number): void {
-    if (first > this.last + 1) {
+  /** Starts a run at the first retained offset, before any record of the run is read. */
+  startRunAt (first: number): void {
+    if (first > this.newestOffset + 1) {
       this.records = []
-      this.from = first
-      this.last = first - 1
+      this.firstOffset = first
+      this.newestOffset = first - 1
     }
   }
 
   /** Whether the record continues the run without a second gap. */
   private isNext (record: LogRecord): boolean {
-    return record.offset === this.last + 1
+    return record.offset === this.newestOffset + 1
   }
 
   add (record: LogRecord): void {
-    if (!this.isEmpty() && record.offset <= this.last) {
+    if (!this.isEmpty() && record.offset <= this.newestOffset) {
       return
     }
     if (this.isEmpty() || !this.isNext(record)) {
       this.records = []
-      this.from = record.offset
+      this.firstOffset = record.offset
     }
-    this.last = record.offset
+    this.newestOffset = record.offset
     if (foldedKinds.has(record.kind)) {
       this.records.push(record)
     }
   }
 
-  /** Whether nothing is missing between a copy at this offset and the records here. */
-  joins (offset: number): boolean {
-    return !this.isEmpty() && offset >= this.from - 1
+  /** Whether no record is missing between a copy at this offset and the records here. */
+  connectsTo (offset: number): boolean {
+    return !this.isEmpty() && offset >= this.firstOffset - 1
   }
 
   /** Offset of the last record in the run. */
   lastOffset (): number {
-    return this.last
+    return this.newestOffset
   }
 
-  /** Takes out the records above the offset; the backlog is empty afterwards. */
-  takeAbove (offset: number): readonly LogRecord[] {
+  /** Empties the backlog and returns its records above the offset. */
+  drainAbove (offset: number): readonly LogRecord[] {
     const above = this.records.filter(record => record.offset > offset)
     this.records = []
-    this.from = 0
-    this.last = 0
+    this.firstOffset = 0
+    this.newestOffset = 0
     return above
   }
 }
--- a/packages/foxtaillever-fleet/src/configuration/snapshotWriter.ts
+++ b/packages/foxtaillever-fleet/src/configuration/snapshotWriter.ts
@@ -1,9 +1,9 @@
 /**
- * Writes the folded configuration into the log again before the records it was
- * made from expire. Every instance keeps a deadline of its own, spread at
- * random; the first to reach it writes, and the others move theirs on when they
- * read that record. Without this a fleet that restarts after the retention
- * would find a log from which nothing can be folded.
+ * Writes a snapshot of the folded configuration to the log before the records it
+ * was folded from expire. Each instance has its own randomly spread deadline. The
+ * first instance to reach its deadline writes, and the others postpone theirs when
+ * they read that record. Without snapshots, a fleet that restarts after the
+ * retention would find a log from which no configuration can be folded.
  */
 import { RecordKind, type Clock, type Log, type LogRecord, type Random } from 'foxtaillever-core'
 import type { SnapshotRecord } from './change.js'
@@ -12,15 +12,15 @@
 /** Share of the retention after which a snapshot is due; leaves two thirds for outages of the log. */
 const DUE_SHARE = 1 / 3
 
-/** Share of the retention over which instances spread, so that seldom two write. */
+/** Share of the retention over which deadlines are spread, so that two instances seldom write. */
 const SPREAD_SHARE = 1 / 12
 
-/** Pause before the next try when the log did not take it, milliseconds. */
+/** Delay before the next attempt if the snapshot does not appear in the log, milliseconds. */
 const RETRY_MS = 5000
 
 export class SnapshotWriter {
-  /** Milliseconds of Unix time; none while nothing is configured. */
-  private deadline = Infinity
+  /** Milliseconds of Unix time; infinite until a configuration has been read. */
+  private writeAt = Infinity
   private written = 0
 
   private constructor (
@@ -35,29 +35,29 @@
     return new SnapshotWriter(log, store, clock, random, retentionMs)
   }
 
-  /** When this instance writes next unless another does, milliseconds of Unix time. */
+  /** When this instance writes next unless another instance writes first, milliseconds of Unix time. */
   dueAt (): number {
-    return this.deadline
+    return this.writeAt
   }
 
   writtenCount (): number {
     return this.written
   }
 
-  /** Sees every record, also those below a copy taken from a peer. */
-  readonly take = (record: LogRecord): void => {
-    const first = this.deadline === Infinity && record.kind === RecordKind.Configuration
-    if (first || isUsable(record)) {
-      this.deadline = record.appendedAt + this.retentionMs * (DUE_SHARE + SPREAD_SHARE * this.random.next())
+  /** Sets or postpones the deadline. Gets every record, also those below the offset of a peer's copy. */
+  readonly handleRecord = (record: LogRecord): void => {
+    const first = this.writeAt === Infinity && record.kind === RecordKind.Configuration
+    if (first || isUsableSnapshot(record)) {
+      this.writeAt = record.appendedAt + this.retentionMs * (DUE_SHARE + SPREAD_SHARE * this.random.next())
     }
   }
 
   /** Run each tick. */
   tick (): void {
-    if (this.clock.now() < this.deadline || !this.store.isKnown() || this.store.hasGap()) {
+    if (this.clock.now() < this.writeAt || !this.store.hasConfiguration() || this.store.hasGap()) {
       return
     }
-    this.deadline = this.clock.now() + RETRY_MS * (1 + this.random.next())
+    this.writeAt = this.clock.now() + RETRY_MS * (1 + this.random.next())
     this.write()
   }
 
@@ -66,12 +66,12 @@
     const body: SnapshotRecord = { configuration, offset, digest, history }
     const id = `snapshot-${offset}-${this.random.below(2 ** 32).toString(16)}`
     this.written += 1
-    // A lost answer needs no care: a second snapshot of one revision is harmless.
+    // A lost answer needs no handling: a second snapshot of the same revision is harmless.
     this.log.append({ id, kind: RecordKind.Snapshot, writtenAt: this.clock.now(), body }).catch(() => {})
   }
 }
 
-/** A snapshot that names no offset cannot be started from, so it postpones nothing. */
-function isUsable (record: LogRecord): boolean {
+/** A reader cannot start from a snapshot without an offset, so such a snapshot postpones nothing. */
+function isUsableSnapshot (record: LogRecord): boolean {
   return record.kind === RecordKind.Snapshot && (record.body as SnapshotRecord)?.offset !== undefined
 }
--- a/packages/foxtaillever-fleet/src/fleet.ts
+++ b/packages/foxtaillever-fleet/src/fleet.ts
@@ -5,7 +5,7 @@
 import type { Cancellation, Clock, InstanceList, Log, Random } from 'foxtaillever-core'
 import { ConfigurationStore } from './configuration/configurationStore.js'
 import type { InForce } from './configuration/inForceSystem.js'
-import { Publisher, type Publication, type PublicationOrder } from './configuration/publisher.js'
+import { Publisher, type Publication, type PublicationRequest } from './configuration/publisher.js'
 import { SnapshotWriter } from './configuration/snapshotWriter.js'
 import { createDump, type FleetDump } from './fleetDump.js'
 import { LogReader, type GapListener, type RecordReader } from './log/logReader.js'
@@ -71,8 +71,8 @@
     this.store = ConfigurationStore.create()
     this.publisher = Publisher.create(log, this.store, clock, random)
     this.snapshots = SnapshotWriter.create(log, this.store, clock, random, options.logRetentionMs)
-    this.reader = LogReader.create(log, clock, [this.store.take, this.publisher.take, this.snapshots.take, ...options.readers ?? []], (first, page) => {
-      this.store.noteFirstKept(first)
+    this.reader = LogReader.create(log, clock, [this.store.applyRecord, this.publisher.handleRecord, this.snapshots.handleRecord, ...options.readers ?? []], (first, page) => {
+      this.store.noteFirstRetainedOffset(first)
       options.onGap?.(first, page)
     })
     const self = Self.create(options.self, clock.now())
@@ -151,13 +151,13 @@
     return this.reader
   }
 
-  async publish (order: PublicationOrder): Promise<Publication> {
-    return await this.publisher.publish(order)
+  async publish (request: PublicationRequest): Promise<Publication> {
+    return await this.publisher.publish(request)
   }
 
   /** Answers when all live members have the revision in force, at the latest at the deadline. */
   async waitInForce (revision: number, deadline: number): Promise<InForce> {
-    return await this.systems.inForce.wait(revision, deadline)
+    return await this.systems.inForce.waitForRevision(revision, deadline)
   }
 
   /** Tells all instances a fact until its deadline; false when it is too large. */
--- a/packages/foxtaillever-fleet/src/membership/__tests__/trpcPeers.test.ts
+++ b/packages/foxtaillever-fleet/src/membership/__tests__/trpcPeers.test.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo, Server } from 'node:net'
 import { SeededRandom } from 'foxtaillever-core'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
-import { nothingFolded } from '../../configuration/foldedConfiguration.js'
+import { emptyFold } from '../../configuration/foldedConfiguration.js'
 import { KeyRing, Permission, type Key } from '../../security/keyRing.js'
 import { createPeerRouter, PeerProcedure, sealValue } from '../peerRouter.js'
 import { PEER_PATH, TrpcPeers } from '../trpcPeers.js'
@@ -10,7 +10,7 @@
 const key: Key = { id: 'k1', secret: 'a secret of many characters', permissions: [Permission.Join] }
 
 async function serve (keys: KeyRing, clock: VirtualClock) {
-  const source = { configuration: () => nothingFolded, memberEntries: () => [] }
+  const source = { configuration: () => emptyFold, memberEntries: () => [] }
   const server = createHTTPServer({ router: createPeerRouter(source, keys, clock), basePath: `${PEER_PATH}/` }) as Server
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', () => resolve()))
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
@@ -33,7 +33,7 @@
     const clock = VirtualClock.create()
     const server = await serve(KeyRing.create([key]), clock)
     const peers = createPeers(KeyRing.create([key]), clock)
-    t.deepEqual((await peers.configuration(server.address)).extract(), nothingFolded)
+    t.deepEqual((await peers.configuration(server.address)).extract(), emptyFold)
     t.deepEqual((await peers.members(server.address)).extract(), [])
     await server.close()
   })
@@ -51,7 +51,7 @@
     // Somebody answers in a member's place with a configuration of his own.
     const clock = VirtualClock.create()
     const forged = createHTTPServer({
-      router: createPeerRouter({ configuration: () => nothingFolded, memberEntries: () => [] }, KeyRing.create([{ ...key, id: 'k2' }, key]), clock),
+      router: createPeerRouter({ configuration: () => emptyFold, memberEntries: () => [] }, KeyRing.create([{ ...key, id: 'k2' }, key]), clock),
       basePath: `${PEER_PATH}/`
     }) as Server
     await new Promise<void>(resolve => forged.listen(0, '127.0.0.1', () => resolve()))
--- a/packages/foxtaillever-fleet/src/membership/systems.ts
+++ b/packages/foxtaillever-fleet/src/membership/systems.ts
@@ -90,8 +90,8 @@
     if (sender === undefined) {
       return
     }
-    this.pulls.hear(sender.controlAddress, message.position)
-    this.inForce.hear()
+    this.pulls.receivePosition(sender.controlAddress, message.position)
+    this.inForce.finishCompleteWaits()
     this.sync.receive(message)
     this.handlers[message.kind]?.(message, sender.address)
   }
--- a/packages/foxtaillever-proof/src/world/entry.ts
+++ b/packages/foxtaillever-proof/src/world/entry.ts
@@ -69,9 +69,9 @@
     })
     this.snapshots = SnapshotWriter.create(this.log, this.store, this.clock, random, retentionMs)
     this.reader = LogReader.create(this.log, this.clock,
-      [this.store.take, this.snapshots.take, record => claims.read(record), record => this.holder.read(record)],
+      [this.store.applyRecord, this.snapshots.handleRecord, record => claims.read(record), record => this.holder.read(record)],
       (first, page) => {
-        this.store.noteFirstKept(first)
+        this.store.noteFirstRetainedOffset(first)
         claims.cover(page)
       })
     this.store.onChange(({ configuration }) => this.core.configure(configuration))
@@ -98,7 +98,7 @@
   /** Reads the instance list, a peer's configuration and the engines' load, again and again. */
   private look (): void {
     this.core.observeList(this.options.listOf())
-    this.options.copies().forEach(copy => this.store.offer(copy))
+    this.options.copies().forEach(copy => this.store.offerCopy(copy))
     for (const name of this.options.engines) {
       this.engineOf(name).load().then(report => report.ifRight(load => !this.isDead && this.core.observeLoad(name, load)))
     }
--- a/packages/foxtaillever-router/src/control/__tests__/instanceControl.test.ts
+++ b/packages/foxtaillever-router/src/control/__tests__/instanceControl.test.ts
@@ -1,5 +1,5 @@
 import { emptyConfiguration, PresetName, PriorityClass, RecordKind, type ClientAccount } from 'foxtaillever-core'
-import { ChangeKind, ConfigurationStore, MemberState, PublicationOutcome, type Change, type FleetDump, type PublicationOrder } from 'foxtaillever-fleet'
+import { ChangeKind, ConfigurationStore, MemberState, PublicationOutcome, type Change, type FleetDump, type PublicationRequest } from 'foxtaillever-fleet'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import type { RouterCoreState } from '../../core/routerCoreOptions.js'
 import { Logs } from 'foxtaillever-telemetry'
@@ -14,11 +14,11 @@
 function createBench () {
   const clock = VirtualClock.create()
   const store = ConfigurationStore.create()
-  const published: PublicationOrder[] = []
+  const published: PublicationRequest[] = []
   const logs = Logs.create({ instance: 'entry-1', level: 'silent', clock })
   const fleet = {
     store,
-    publish: async (order: PublicationOrder) => {
+    publish: async (order: PublicationRequest) => {
       published.push(order)
       return { outcome: PublicationOutcome.Accepted, id: '', revision: 1, author: order.author, message: '' }
     },
@@ -58,7 +58,7 @@
   describe('dump', () => {
     it('shows no key digest', t => {
       const { control, store } = createBench()
-      store.take({ offset: 1, appendedAt: 0, id: 'x', kind: RecordKind.Configuration, writtenAt: 0, body: { base: 0, author: 'ana', changes: [put] } })
+      store.applyRecord({ offset: 1, appendedAt: 0, id: 'x', kind: RecordKind.Configuration, writtenAt: 0, body: { base: 0, author: 'ana', changes: [put] } })
       const text = JSON.stringify(control.dump())
       t.true(text.includes('"vale"'))
       t.false(text.includes(digest))
--- a/packages/foxtaillever-router/src/control/instanceControl.ts
+++ b/packages/foxtaillever-router/src/control/instanceControl.ts
@@ -10,7 +10,7 @@
   type AccountView, type ConfigurationView, type Control, type Dump, type Explanation, type Figures, type MemberView,
   type OrderProgress, type ServerOrder, type ServerView
 } from 'foxtaillever-control'
-import { applyChange, MemberState, type Fleet, type FleetDump, type InForce, type Publication, type PublicationOrder } from 'foxtaillever-fleet'
+import { applyChange, MemberState, type Fleet, type FleetDump, type InForce, type Publication, type PublicationRequest } from 'foxtaillever-fleet'
 import { validateConfiguration } from 'foxtaillever-settings'
 import { Left, Maybe, Right, type Either } from 'purify-ts'
 import type { RouterCoreState } from '../core/routerCoreOptions.js'
@@ -63,7 +63,7 @@
   }
 
   /** Checked as a whole before it is written: the log would keep a contradiction for ever. */
-  async publish (order: PublicationOrder): Promise<Either<Failure, Publication>> {
+  async publish (order: PublicationRequest): Promise<Either<Failure, Publication>> {
     const configuration = this.inForce()
     const findings = order.base === configuration.revision ? validateConfiguration(order.changes.reduce(applyChange, configuration)) : []
     if (findings.length > 0) {
--- a/packages/foxtaillever-router/src/instance/entryInstance.ts
+++ b/packages/foxtaillever-router/src/instance/entryInstance.ts
@@ -158,7 +158,7 @@
       plain: this.plain,
       accounts: this.accounts,
       tokens: StreamTokens.create(this.keys),
-      configuration: () => this.fleet.store.isKnown() ? this.configuration() : undefined,
+      configuration: () => this.fleet.store.hasConfiguration() ? this.configuration() : undefined,
       turnedAway: (requestId, failure) => this.telemetry.turnedAway(requestId, failure),
       accepting: () => this.accepting,
       limits: this.options.limits
