--- a/packages/foxtaillever-fleet/src/cacheEvents/__tests__/cacheEvents.test.ts
+++ b/packages/foxtaillever-fleet/src/cacheEvents/__tests__/cacheEvents.test.ts
@@ -3,7 +3,7 @@
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
 import { CacheEventKind, type CacheEvent, type CacheEventListener } from '../cacheEvent.js'
 import { CacheEventSystem, watcherOf, type CacheSummary } from '../cacheEventSystem.js'
-import { CacheKnowledge } from '../cacheKnowledge.js'
+import { CachedPrefixTable } from '../cachedPrefixTable.js'
 
 function createServer (index: number): BackendServer {
   return {
@@ -26,45 +26,45 @@
   return { incarnation, sequence, kind: CacheEventKind.Stored, account: 'firm', prefix, tokens: 100 }
 }
 
-function prefixesOf (knowledge: CacheKnowledge): readonly string[] {
-  return knowledge.hottest(100).map(({ prefix }) => prefix).sort()
+function prefixesOf (table: CachedPrefixTable): readonly string[] {
+  return table.hottest(100).map(({ prefix }) => prefix).sort()
 }
 
 describe('cache events', () => {
-  describe('CacheKnowledge', () => {
-    it('follows stores and evictions, and ignores repeats', t => {
-      const knowledge = CacheKnowledge.create()
-      knowledge.take(stored(1, 'x'), 0)
-      knowledge.take(stored(2, 'y'), 0)
-      knowledge.take({ ...stored(3, 'x'), kind: CacheEventKind.Evicted }, 0)
-      t.false(knowledge.take(stored(1, 'x'), 0))
-      t.deepEqual(prefixesOf(knowledge), ['y'])
-      t.false(knowledge.isDoubtful(0))
+  describe('CachedPrefixTable', () => {
+    it('applies stores and evictions, and ignores repeated events', t => {
+      const table = CachedPrefixTable.create()
+      table.applyEvent(stored(1, 'x'), 0)
+      table.applyEvent(stored(2, 'y'), 0)
+      table.applyEvent({ ...stored(3, 'x'), kind: CacheEventKind.Evicted }, 0)
+      t.false(table.applyEvent(stored(1, 'x'), 0))
+      t.deepEqual(prefixesOf(table), ['y'])
+      t.false(table.isDoubtful(0))
     })
 
-    it('doubts everything after a gap, and then keeps only what came later', t => {
-      // The stream lost an eviction. Taken as true, the old knowledge would send
-      // requests to a server that has to compute their prefix anew.
-      const knowledge = CacheKnowledge.create()
-      knowledge.take(stored(1, 'old'), 0)
-      t.true(knowledge.take(stored(3, 'new'), 1000))
-      t.true(knowledge.isDoubtful(1000))
-      knowledge.expire(6000)
-      t.false(knowledge.isDoubtful(6000))
-      t.deepEqual(prefixesOf(knowledge), ['new'])
+    it('is doubtful after a gap, and then keeps only what was stored later', t => {
+      // The stream lost an eviction. If the old prefixes counted as cached, requests
+      // would go to a server that has to compute their prefix again.
+      const table = CachedPrefixTable.create()
+      table.applyEvent(stored(1, 'old'), 0)
+      t.true(table.applyEvent(stored(3, 'new'), 1000))
+      t.true(table.isDoubtful(1000))
+      table.expire(6000)
+      t.false(table.isDoubtful(6000))
+      t.deepEqual(prefixesOf(table), ['new'])
     })
 
-    it('is void when the engine restarted, whatever was known', t => {
-      const knowledge = CacheKnowledge.create()
-      knowledge.take(stored(8, 'old'), 0)
-      knowledge.take(stored(1, 'new', 'b'), 0)
-      t.deepEqual(prefixesOf(knowledge), ['new'])
+    it('is cleared when the engine restarts', t => {
+      const table = CachedPrefixTable.create()
+      table.applyEvent(stored(8, 'old'), 0)
+      table.applyEvent(stored(1, 'new', 'b'), 0)
+      t.deepEqual(prefixesOf(table), ['new'])
     })
 
-    it('never calls certain what a lost event may have evicted', t => {
+    it('never reports a prefix as certain that a lost event may have evicted', t => {
       const events = fc.array(fc.record({ prefix: fc.constantFrom('p', 'q', 'r'), evict: fc.boolean(), lost: fc.boolean() }), { maxLength: 40 })
       fc.assert(fc.property(events, steps => {
-        const knowledge = CacheKnowledge.create()
+        const table = CachedPrefixTable.create()
         const truth = new Set<string>()
         let now = 0
         steps.forEach(({ prefix, evict, lost }, index) => {
@@ -72,11 +72,11 @@
           const kind = evict ? CacheEventKind.Evicted : CacheEventKind.Stored
           evict ? truth.delete(prefix) : truth.add(prefix)
           if (!lost) {
-            knowledge.take({ ...stored(index + 1, prefix), kind }, now)
+            table.applyEvent({ ...stored(index + 1, prefix), kind }, now)
           }
-          knowledge.expire(now)
-          if (!lost && !knowledge.isDoubtful(now)) {
-            prefixesOf(knowledge).forEach(known => t.true(truth.has(known)))
+          table.expire(now)
+          if (!lost && !table.isDoubtful(now)) {
+            prefixesOf(table).forEach(known => t.true(truth.has(known)))
           }
         })
       }), { seed: 21, numRuns: 300 })
@@ -107,15 +107,15 @@
       return { clock, servers, streams, shared, systems, remove, members: () => members }
     }
 
-    it('are one for each server', t => {
+    it('are unique per server', t => {
       const { systems, streams, servers } = createFleet()
       systems.forEach(system => system.tick())
       t.is(streams.size, servers.length)
     })
 
-    it('hand their servers to others when they die, and nobody else moves', t => {
-      // The instance that read a server's events is gone. Without a successor the
-      // others would go on with its last words until they expire, and then know nothing.
+    it('hand their servers over when they die, and no other server moves', t => {
+      // The instance that read a server's events died. Without a successor, the other
+      // instances would use its last summaries until they expire, and then have none.
       const { systems, streams, servers, remove, members } = createFleet()
       systems.forEach(system => system.tick())
       const before = new Map(servers.map(({ name }) => [name, watcherOf(name, members())]))
@@ -128,39 +128,39 @@
       }
     })
 
-    it('tell a thinned summary and whether it is doubtful', async t => {
+    it('announce a short summary and whether it is doubtful', async t => {
       const { clock, systems, streams, shared } = createFleet()
       const system = systems[0]!
       system.tick()
-      const server = system.watched()[0]!
+      const server = system.watchedServers()[0]!
       const stream = streams.get(`one/${server}`)!
       for (let index = 1; index <= 50; index += 1) {
-        stream.event(stored(index, `p${index % 20}`))
+        stream.handleEvent(stored(index, `p${index % 20}`))
       }
       system.tick()
       t.is(shared.at(-1)![0], server)
       t.is(shared.at(-1)![1].prefixes.length, 8)
       t.false(shared.at(-1)![1].doubtful)
-      stream.event(stored(60, 'late'))
+      stream.handleEvent(stored(60, 'late'))
       await clock.advanceBy(5000 - 1)
       system.tick()
       t.is(shared.length, 1)
-      stream.event(stored(70, 'later'))
+      stream.handleEvent(stored(70, 'later'))
       await clock.advanceBy(1)
       system.tick()
       t.true(shared.at(-1)![1].doubtful)
     })
 
-    it('start anew with nothing when a stream ends', t => {
+    it('start again with an empty table when a stream ends', t => {
       const { systems, streams } = createFleet()
       const system = systems[0]!
       system.tick()
-      const server = system.watched()[0]!
+      const server = system.watchedServers()[0]!
       const stream = streams.get(`one/${server}`)!
-      stream.event(stored(1, 'x'))
-      stream.ended()
+      stream.handleEvent(stored(1, 'x'))
+      stream.handleEnd()
       system.tick()
-      t.is(system.knowledgeOf(server)?.size(), 0)
+      t.is(system.prefixTableOf(server)?.size(), 0)
       t.not(streams.get(`one/${server}`), stream)
     })
   })
--- a/packages/foxtaillever-fleet/src/cacheEvents/cacheEvent.ts
+++ b/packages/foxtaillever-fleet/src/cacheEvents/cacheEvent.ts
@@ -1,6 +1,6 @@
 /**
- * Cache events of a backend server, as its watcher reads them. They come late
- * and with gaps, so they only ever correct what is computed otherwise.
+ * Cache events of a backend server, as its watcher reads them. They arrive late
+ * and with gaps, so they only correct estimates that are computed without them.
  */
 import type { BackendServer, Cancellation } from 'foxtaillever-core'
 
@@ -11,9 +11,9 @@
 }
 
 export interface CacheEvent {
-  /** Drawn anew at each start of the engine; its caches begin empty. */
+  /** Changes with each start of the engine, which starts with empty caches. */
   readonly incarnation: string
-  /** Rises by one with each event of an incarnation. */
+  /** Increases by one with each event of an incarnation. */
   readonly sequence: number
   readonly kind: CacheEventKind
   readonly account: string
@@ -23,12 +23,12 @@
 }
 
 export interface CacheEventListener {
-  event: (event: CacheEvent) => void
-  /** The stream ended; what is known from it grows old. */
-  ended: () => void
+  handleEvent: (event: CacheEvent) => void
+  /** Called when the stream ended; the state read from it becomes outdated. */
+  handleEnd: () => void
 }
 
-/** The narrow interface to the event streams of backend servers. */
+/** Interface to the event streams of backend servers. */
 export interface CacheEvents {
   watch: (server: BackendServer, listener: CacheEventListener) => Cancellation
 }
--- a/packages/foxtaillever-fleet/src/cacheEvents/cacheEventSystem.ts
+++ b/packages/foxtaillever-fleet/src/cacheEvents/cacheEventSystem.ts
@@ -1,8 +1,9 @@
 /**
- * Reads the event streams of the backend servers that this instance is the
- * computed watcher of, and tells the others a thinned summary: the few hottest
- * prefixes of each server, its incarnation, and whether that is doubtful. All
- * events to all instances would be 6.4 MB a second each at the two-year size.
+ * Reads the event streams of the backend servers whose watcher is this instance
+ * (by rendezvous hashing), and announces a short summary to the other instances:
+ * the hottest prefixes of each server, its incarnation, and whether the prefixes
+ * are doubtful. Sending all events to all instances would cost 6.4 MB per second
+ * and instance at the two-year size.
  */
 import * as Option from 'fp-ts/lib/Option.js'
 import { pipe } from 'fp-ts/lib/function.js'
@@ -10,42 +11,42 @@
 import { homeOf, type Named } from '../membership/home.js'
 import { FactKind } from '../softState/fact.js'
 import type { CacheEvents } from './cacheEvent.js'
-import { CacheKnowledge } from './cacheKnowledge.js'
+import { CachedPrefixTable } from './cachedPrefixTable.js'
 
 /** Prefixes in one summary. */
 const SUMMARY_PREFIXES = 8
 
-/** How often a changed summary is told, milliseconds. */
-const SUMMARY_MS = 5000
+/** How often each summary is announced, milliseconds. */
+const SUMMARY_INTERVAL_MS = 5000
 
-/** How long a summary holds, milliseconds; three periods, so that one lost datagram costs nothing. */
-const SUMMARY_LIFE_MS = 15_000
+/** How long a summary is valid, milliseconds; three intervals, so that one lost datagram does no harm. */
+const SUMMARY_LIFETIME_MS = 15_000
 
-/** What others hear of one backend server's cache. */
+/** What is announced to other instances about one backend server's cache. */
 export interface CacheSummary {
   readonly incarnation: string
   readonly doubtful: boolean
-  /** Marks of the hottest cached prefixes, hottest first. */
+  /** Hashes of the hottest cached prefixes, hottest first. */
   readonly prefixes: readonly number[]
 }
 
 /**
- * Short mark of one account's prefix. Two prefixes may share a mark; that costs
- * a worse placement at most, since engines keep accounts apart themselves.
+ * Short hash of one account's prefix. A collision can only cause a worse placement,
+ * since engines isolate the caches of accounts themselves.
  */
-export function markOf (account: string, prefix: string): number {
+export function prefixHashOf (account: string, prefix: string): number {
   return hashNumber(`${account}\0${prefix}`)
 }
 
 interface Watch {
-  readonly knowledge: CacheKnowledge
+  readonly prefixTable: CachedPrefixTable
   readonly address: string
   readonly cancel: Cancellation
-  /** When the next summary may be told, milliseconds of Unix time. */
+  /** When the next summary may be announced, milliseconds of Unix time. */
   summaryAt: number
 }
 
-/** What the system needs of the instance around it; a Fleet has it. */
+/** What the system needs from its instance; Fleet provides it. */
 export interface CacheEventParts {
   readonly name: string
   readonly members: () => readonly Named[]
@@ -70,32 +71,32 @@
   }
 
   /** Names of the servers watched here. */
-  watched (): readonly string[] {
+  watchedServers (): readonly string[] {
     return [...this.watches.keys()]
   }
 
-  knowledgeOf (server: string): CacheKnowledge | undefined {
-    return this.watches.get(server)?.knowledge
+  prefixTableOf (server: string): CachedPrefixTable | undefined {
+    return this.watches.get(server)?.prefixTable
   }
 
-  /** Run each tick: takes over the servers of a watcher that died, gives up others. */
+  /** Runs each tick: takes over the servers of a dead watcher, and stops watching servers of other watchers. */
   tick (): void {
     const own = this.ownServers()
     for (const name of this.watches.keys()) {
       if (own.get(name)?.address !== this.watches.get(name)!.address) {
-        this.giveUp(name)
+        this.stopWatching(name)
       }
     }
     own.forEach(server => {
       if (!this.watches.has(server.name)) {
-        this.watch(server)
+        this.startWatching(server)
       }
     })
-    this.watches.forEach((watch, name) => this.tell(name, watch))
+    this.watches.forEach((watch, name) => this.announceSummary(name, watch))
   }
 
   stop (): void {
-    ;[...this.watches.keys()].forEach(name => this.giveUp(name))
+    ;[...this.watches.keys()].forEach(name => this.stopWatching(name))
   }
 
   private ownServers (): ReadonlyMap<string, BackendServer> {
@@ -104,38 +105,38 @@
     return new Map(own.map(server => [server.name, server]))
   }
 
-  private watch (server: BackendServer): void {
-    const knowledge = CacheKnowledge.create()
+  private startWatching (server: BackendServer): void {
+    const prefixTable = CachedPrefixTable.create()
     const now = this.parts.clock.now()
     const cancel = this.parts.events.watch(server, {
-      event: event => { knowledge.take(event, this.parts.clock.now()) },
-      ended: () => this.reopen(server.name)
+      handleEvent: event => { prefixTable.applyEvent(event, this.parts.clock.now()) },
+      handleEnd: () => this.discardWatch(server.name)
     })
-    this.watches.set(server.name, { knowledge, address: server.address, cancel, summaryAt: now })
+    this.watches.set(server.name, { prefixTable, address: server.address, cancel, summaryAt: now })
   }
 
-  /** Opened again at the next tick, with empty knowledge: what was missed is not known. */
-  private reopen (name: string): void {
+  /** The next tick opens the stream again with an empty table, since the missed events are unknown. */
+  private discardWatch (name: string): void {
     this.watches.delete(name)
   }
 
-  private giveUp (name: string): void {
+  private stopWatching (name: string): void {
     this.watches.get(name)?.cancel()
     this.watches.delete(name)
   }
 
-  private tell (name: string, watch: Watch): void {
+  private announceSummary (name: string, watch: Watch): void {
     const now = this.parts.clock.now()
-    watch.knowledge.expire(now)
-    if (now < watch.summaryAt || watch.knowledge.incarnation() === '') {
+    watch.prefixTable.expire(now)
+    if (now < watch.summaryAt || watch.prefixTable.incarnation() === '') {
       return
     }
-    watch.summaryAt = now + SUMMARY_MS
+    watch.summaryAt = now + SUMMARY_INTERVAL_MS
     const summary: CacheSummary = {
-      incarnation: watch.knowledge.incarnation(),
-      doubtful: watch.knowledge.isDoubtful(now),
-      prefixes: watch.knowledge.hottest(SUMMARY_PREFIXES).map(({ account, prefix }) => markOf(account, prefix))
+      incarnation: watch.prefixTable.incarnation(),
+      doubtful: watch.prefixTable.isDoubtful(now),
+      prefixes: watch.prefixTable.hottest(SUMMARY_PREFIXES).map(({ account, prefix }) => prefixHashOf(account, prefix))
     }
-    this.parts.share(FactKind.CacheSummary, name, summary, now + SUMMARY_LIFE_MS)
+    this.parts.share(FactKind.CacheSummary, name, summary, now + SUMMARY_LIFETIME_MS)
   }
 }
