--- a/packages/foxtaillever-capacity/src/members/hostedMember.ts
+++ b/packages/foxtaillever-capacity/src/members/hostedMember.ts
@@ -72,7 +72,7 @@
 
   share (count: number): void {
     for (let index = 0; index < count; index += 1) {
-      this.fleet.share(FactKind.AccountDemand, `account-${index}`, [1234, 56], this.clock.now() + FACT_MS)
+      this.fleet.announceFact(FactKind.AccountDemand, `account-${index}`, [1234, 56], this.clock.now() + FACT_MS)
     }
   }
 
--- a/packages/foxtaillever-fleet/src/__fixtures__/fakeFleet.ts
+++ b/packages/foxtaillever-fleet/src/__fixtures__/fakeFleet.ts
@@ -21,15 +21,15 @@
   readonly fleet: Fleet
 }
 
-/** Failure domains take turns. */
-const DOMAINS = 3
+/** Instances are spread over the failure domains in turn. */
+const DOMAIN_COUNT = 3
 
 export class FakeFleet {
   readonly log: FakeLog
   readonly network: FakeNetwork
   readonly instances = new Map<string, Instance>()
   listed: ListedInstance[] = []
-  private started = 0
+  private startCount = 0
 
   private constructor (private readonly clock: VirtualClock, private readonly random: SeededRandom, lossShare: number) {
     this.log = FakeLog.create(clock)
@@ -40,11 +40,11 @@
     return new FakeFleet(clock, SeededRandom.create(seed), lossShare)
   }
 
-  /** Starts an instance; one whose name is known takes its place at another address. */
+  /** Starts an instance. If the name is in use, the new instance replaces the old one at another address. */
   async start (name: string, clock = this.clock): Promise<Instance> {
-    this.started += 1
-    const address = `10.0.0.${this.started}:7000`
-    const failureDomain = `domain-${this.started % DOMAINS}`
+    this.startCount += 1
+    const address = `10.0.0.${this.startCount}:7000`
+    const failureDomain = `domain-${this.startCount % DOMAIN_COUNT}`
     this.listed = [...this.listed.filter(entry => entry.name !== name), { name, address, failureDomain, kind: ListedKind.EntryInstance, state: ListedState.Live }]
     const keys = KeyRing.create([testKey])
     const fleet = Fleet.create({
@@ -57,7 +57,7 @@
       peers: this.peersOf(address),
       keys,
       clock,
-      random: SeededRandom.create(1000 + this.started)
+      random: SeededRandom.create(1000 + this.startCount)
     })
     const instance = { name, address, keys, fleet }
     this.instances.set(name, instance)
@@ -70,7 +70,7 @@
     return await Promise.all(names.map(name => this.start(name)))
   }
 
-  /** Ends an instance without a word, as a crash does. */
+  /** Ends an instance without notice, as a crash does. */
   async crash (name: string): Promise<void> {
     const { address } = this.instances.get(name)!
     this.instances.delete(name)
@@ -83,22 +83,22 @@
   }
 
   private peersOf (from: string): Peers {
-    const find = (address: string): Fleet | undefined => {
+    const findReachable = (address: string): Fleet | undefined => {
       const instance = [...this.instances.values()].find(candidate => candidate.address === address)
       return this.network.isReachable(from, address) ? instance?.fleet : undefined
     }
     const refused = Left(Failure.notRun(FailureCode.ConnectionRefused, 'Nobody answers.'))
     return {
       configuration: async address => {
-        const fleet = find(address)
+        const fleet = findReachable(address)
         return fleet ? Right(fleet.configuration()) : refused
       },
       changes: async (address, revision) => {
-        const changes = find(address)?.changesSince(revision)
+        const changes = findReachable(address)?.changesSince(revision)
         return changes ? Right(changes) : refused
       },
       members: async address => {
-        const fleet = find(address)
+        const fleet = findReachable(address)
         return fleet ? Right(fleet.memberEntries()) : refused
       }
     }
--- a/packages/foxtaillever-fleet/src/__tests__/configuration.test.ts
+++ b/packages/foxtaillever-fleet/src/__tests__/configuration.test.ts
@@ -6,7 +6,7 @@
 
 const JOIN_MS = 8000
 
-/** What operators are promised for a change to be in force everywhere. */
+/** Time promised to operators until a change is in force everywhere, milliseconds. */
 const IN_FORCE_MS = 8000
 
 async function createFleet (count = 9) {
@@ -29,7 +29,7 @@
 }
 
 describe('configuration of a fleet', () => {
-  it('is in force everywhere, and an operator who waits hears so', async t => {
+  it('comes into force everywhere, as reported to an operator who waits', async t => {
     const { clock, instances } = await createFleet()
     const publication = await switchPreset(instances[0]!, clock, PresetName.Peaks)
     t.is(publication.outcome, PublicationOutcome.Accepted)
@@ -39,17 +39,17 @@
     t.deepEqual(presets(instances), [PresetName.Peaks])
   })
 
-  it('names the instances that do not have it', async t => {
+  it('reports the instances that do not have the revision', async t => {
     const { clock, fake, instances } = await createFleet()
-    const cutOff = instances[3]!
-    fake.network.cut((from, to) => from === cutOff.address || to === cutOff.address)
+    const isolated = instances[3]!
+    fake.network.cut((from, to) => from === isolated.address || to === isolated.address)
     const publication = await switchPreset(instances[0]!, clock, PresetName.Peaks)
     const wait = instances[0]!.fleet.waitInForce(publication.revision, clock.now() + 500)
     await clock.advanceBy(600)
-    t.deepEqual((await wait).missing, [cutOff.name])
+    t.deepEqual((await wait).missing, [isolated.name])
   })
 
-  it('is in force within seconds though the log takes four seconds an answer', async t => {
+  it('comes into force within seconds although each read of the log takes four seconds', async t => {
     const { clock, fake, instances } = await createFleet()
     fake.log.readDelayMs = 4000
     const revision = instances[0]!.fleet.store.configuration().revision
@@ -59,9 +59,9 @@
     t.deepEqual(presets(instances), [PresetName.Peaks])
   })
 
-  it('reaches all from the one that read it before the log went down', async t => {
-    // The log takes a change, one instance reads it, and the log goes down. Were
-    // it not passed on, an accepted preset would be in force on one instance only.
+  it('spreads from the only instance that read it before the log went down', async t => {
+    // The log appends a change, one instance reads it, and the log goes down. If the
+    // change did not spread, an accepted preset would be in force on one instance only.
     const { clock, fake, instances } = await createFleet()
     const publication = instances[0]!.fleet.publish({ base: 0, author: 'operator', changes: [{ kind: ChangeKind.SwitchPreset, name: PresetName.Peaks }], deadline: clock.now() + 5000 })
     instances[0]!.fleet.store.applyRecord(fake.log.allRecords()[0]!)
@@ -71,7 +71,7 @@
     t.deepEqual(presets(instances), [PresetName.Peaks])
   })
 
-  it('is there at once on an instance that restarts while the log is down', async t => {
+  it('reaches an instance that starts while the log is down', async t => {
     const { clock, fake, instances } = await createFleet(4)
     await switchPreset(instances[0]!, clock, PresetName.Maintenance)
     fake.log.isDown = true
@@ -82,7 +82,7 @@
     t.is(fresh.fleet.store.current().digest, instances[0]!.fleet.store.current().digest)
   })
 
-  it('is unknown to an instance that restarts without log and peers', async t => {
+  it('is unknown to an instance that starts without log and peers', async t => {
     const { clock, fake, instances } = await createFleet(2)
     await switchPreset(instances[0]!, clock, PresetName.Maintenance)
     fake.log.isDown = true
@@ -92,9 +92,9 @@
     t.false(fresh.fleet.store.hasConfiguration())
   })
 
-  it('does not go back when a half that lagged meets the other again', async t => {
-    // One half keeps the log, the other is cut off from it and from the rest.
-    // When they meet, the old preset must not come back into force anywhere.
+  it('does not revert when an outdated half of the fleet reconnects', async t => {
+    // A network partition keeps the halves of the fleet apart while a preset changes.
+    // When they reconnect, the old preset must not come back into force anywhere.
     const { clock, fake, instances } = await createFleet(6)
     const left = new Set(instances.slice(0, 3).map(({ address }) => address))
     fake.network.cut((from, to) => left.has(from) !== left.has(to))
--- a/packages/foxtaillever-fleet/src/__tests__/membership.test.ts
+++ b/packages/foxtaillever-fleet/src/__tests__/membership.test.ts
@@ -4,7 +4,7 @@
 
 const JOIN_MS = 8000
 
-/** Longer than probes, suspicion and the spread of news take together. */
+/** Longer than probes, suspicion and the spread of updates take together, milliseconds. */
 const DEATH_MS = 15_000
 
 const COUNT = 9
@@ -22,26 +22,26 @@
 }
 
 describe('members', () => {
-  it('know each other within seconds of a start of all at once', async t => {
+  it('know each other within seconds when all start at once', async t => {
     const { instances } = await createFleet()
     instances.forEach(instance => t.deepEqual(namesOf(instance), allNames(instances)))
   })
 
-  it('know each other though one datagram in ten is lost', async t => {
+  it('know each other although one datagram in ten is lost', async t => {
     const { instances } = await createFleet(COUNT, 0.1)
     instances.forEach(instance => t.is(namesOf(instance).length, COUNT))
   })
 
-  it('drop one that leaves at once, without suspicion', async t => {
+  it('drop a leaving member at once, without suspicion', async t => {
     const { clock, instances } = await createFleet()
     await instances[0]!.fleet.stop()
     await clock.advanceBy(600)
     instances.slice(1).forEach(instance => t.false(namesOf(instance).includes(instances[0]!.name)))
   })
 
-  it('drop one that crashed, and take back its successor under the same name', async t => {
-    // An instance dies without a word and the platform replaces it. Kept as a
-    // member it would remain home of claims that nobody collects.
+  it('drop a crashed member, and admit its successor under the same name', async t => {
+    // An instance crashes without notice and the platform replaces it. If the dead
+    // instance stayed a member, it would stay home of claims that no instance collects.
     const { clock, fake, instances } = await createFleet()
     const name = instances[4]!.name
     await fake.crash(name)
@@ -53,29 +53,29 @@
     ;[...others, successor].forEach(instance => t.is(namesOf(instance).length, COUNT))
   })
 
-  it('stay members while one path between two of them is broken', async t => {
-    // A switch drops packets between two instances only. Without others to ask,
-    // each would call the other dead and the whole fleet would hear it.
+  it('stay members while the path between two of them is broken', async t => {
+    // A switch drops packets between two instances only. Without indirect probes,
+    // each would announce the other as dead to the whole fleet.
     const { clock, fake, instances } = await createFleet()
-    const [one, other] = [instances[0]!.address, instances[1]!.address]
-    fake.network.cut((from, to) => (from === one && to === other) || (from === other && to === one))
+    const [a, b] = [instances[0]!.address, instances[1]!.address]
+    fake.network.cut((from, to) => (from === a && to === b) || (from === b && to === a))
     await clock.advanceBy(20_000)
     instances.forEach(instance => t.is(namesOf(instance).length, COUNT))
   })
 
-  it('lose a whole failure domain and keep the rest', async t => {
+  it('drop a whole failure domain and keep the other members', async t => {
     const { clock, fake, instances } = await createFleet()
-    const gone = instances.filter((_, index) => index % 3 === 0)
-    const addresses = new Set(gone.map(({ address }) => address))
+    const lost = instances.filter((_, index) => index % 3 === 0)
+    const addresses = new Set(lost.map(({ address }) => address))
     fake.network.cut((from, to) => addresses.has(from) || addresses.has(to))
     await clock.advanceBy(DEATH_MS)
-    const rest = instances.filter(instance => !gone.includes(instance))
-    rest.forEach(instance => t.deepEqual(namesOf(instance), allNames(rest)))
+    const remaining = instances.filter(instance => !lost.includes(instance))
+    remaining.forEach(instance => t.deepEqual(namesOf(instance), allNames(remaining)))
   })
 
-  it('find each other again after the halves were apart for minutes', async t => {
-    // Regions lose each other and each half calls the other dead. If nobody
-    // tried the dead again, the halves would stay two fleets for good.
+  it('find each other again after a network partition of minutes', async t => {
+    // A network partition makes each half of the fleet declare the other dead. If dead
+    // members were never contacted again, the halves would stay two fleets for good.
     const { clock, fake, instances } = await createFleet()
     const left = new Set(instances.slice(0, 4).map(({ address }) => address))
     fake.network.cut((from, to) => left.has(from) !== left.has(to))
@@ -86,7 +86,7 @@
     instances.forEach(instance => t.deepEqual(namesOf(instance), allNames(instances)))
   })
 
-  it('come back after a herd of restarts under new names', async t => {
+  it('are complete after most instances restarted under new names', async t => {
     const { clock, fake, instances } = await createFleet()
     await Promise.all(instances.slice(0, 6).map(instance => instance.fleet.stop()))
     fake.listed = fake.listed.slice(6)
@@ -96,26 +96,26 @@
     now.forEach(instance => t.deepEqual(namesOf(instance), allNames(now)))
   })
 
-  describe('a paused member', () => {
-    it('that wakes is a member again and brings no old beliefs back', async t => {
-      // A virtual machine is frozen for a minute. Meanwhile it is called dead,
-      // another member leaves, and facts expire. Awake, it must neither call the
-      // others dead nor keep what it believed.
+  describe('a suspended member', () => {
+    it('that resumes is a member again and brings back no outdated state', async t => {
+      // A virtual machine is suspended for a minute. Meanwhile it is declared dead,
+      // another member leaves, and facts expire. When it resumes, it must neither
+      // declare the others dead nor keep its outdated state.
       const clock = VirtualClock.create()
       const fake = FakeFleet.create(clock, 5)
       const instances = await fake.startAll(5)
-      const paused = VirtualClock.create()
-      const sleeper = await fake.start('sleeper', paused)
+      const suspendedClock = VirtualClock.create()
+      const suspended = await fake.start('suspended', suspendedClock)
       for (let step = 0; step < 80; step += 1) {
         await clock.advanceBy(100)
-        await paused.advanceTo(clock.now())
+        await suspendedClock.advanceTo(clock.now())
       }
-      instances[0]!.fleet.share(FactKind.Suspect, 'digest', 1, clock.now() + 30_000)
+      instances[0]!.fleet.announceFact(FactKind.Suspect, 'digest', 1, clock.now() + 30_000)
       await clock.advanceBy(600)
-      await paused.advanceTo(clock.now())
-      t.is(sleeper.fleet.facts(FactKind.Suspect).length, 1)
-      t.is(namesOf(sleeper).length, 6)
-      fake.network.cut((from, to) => from === sleeper.address || to === sleeper.address)
+      await suspendedClock.advanceTo(clock.now())
+      t.is(suspended.fleet.facts(FactKind.Suspect).length, 1)
+      t.is(namesOf(suspended).length, 6)
+      fake.network.cut((from, to) => from === suspended.address || to === suspended.address)
       await clock.advanceBy(30_000)
       await instances[1]!.fleet.stop()
       await clock.advanceBy(30_000)
@@ -123,16 +123,16 @@
       fake.network.heal()
       for (let step = 0; step < 150; step += 1) {
         await clock.advanceBy(100)
-        await paused.advanceTo(clock.now())
+        await suspendedClock.advanceTo(clock.now())
       }
-      const live = [instances[0]!, instances[2]!, instances[3]!, instances[4]!, sleeper]
+      const live = [instances[0]!, instances[2]!, instances[3]!, instances[4]!, suspended]
       live.forEach(instance => t.deepEqual(namesOf(instance), allNames(live)))
-      t.is(sleeper.fleet.facts(FactKind.Suspect).length, 0)
+      t.is(suspended.fleet.facts(FactKind.Suspect).length, 0)
     })
 
-    it('whose name was given away learns that it is superseded', async t => {
-      // The platform replaced a frozen instance and gave its name to another. The
-      // old process wakes and still believes that it bears the name.
+    it('whose name has a successor learns that it is superseded', async t => {
+      // The platform replaced a suspended instance and gave its name to another. The
+      // old process resumes and still believes that it has the name.
       const { clock, fake, instances } = await createFleet(4)
       const old = instances[3]!
       fake.network.cut((from, to) => from === old.address || to === old.address)
@@ -148,9 +148,9 @@
     })
   })
 
-  it('repeat a run from its seed', async t => {
+  it('send the same traffic in two runs with the same seed', async t => {
     const runs = await Promise.all([createFleet(6, 0.2), createFleet(6, 0.2)])
-    const [one, other] = runs.map(({ instances }) => instances.map(({ fleet }) => fleet.dump().traffic))
-    t.deepEqual(one, other)
+    const [a, b] = runs.map(({ instances }) => instances.map(({ fleet }) => fleet.dump().traffic))
+    t.deepEqual(a, b)
   })
 })
--- a/packages/foxtaillever-fleet/src/__tests__/security.test.ts
+++ b/packages/foxtaillever-fleet/src/__tests__/security.test.ts
@@ -32,9 +32,9 @@
 }
 
 describe('forged and replayed messages', () => {
-  it('change nothing when signed with a key that is not in the ring', async t => {
-    // Someone on the network makes up a message that calls every member dead and
-    // brings a fact and a revision of its own.
+  it('change nothing when signed with a key that is not in the key ring', async t => {
+    // An attacker on the network forges a message that declares every member dead and
+    // contains a fact and a revision of its own.
     const { clock, fake, instances } = await createFleet()
     const target = instances[0]!
     const stranger = KeyRing.create([{ ...testKey, secret: 'another secret of sixteen' }])
@@ -50,9 +50,9 @@
     t.is(after.traffic.sentMessages, before.traffic.sentMessages)
   })
 
-  it('do not bring back a member that has left', async t => {
-    // A recorded message of a member, sent again after it left, would make it
-    // home of keys again although nobody answers there.
+  it('do not restore a member that has left', async t => {
+    // If a recorded message of a member were accepted after the member left, the
+    // member would become home of keys again although no process answers there.
     const { clock, fake, instances } = await createFleet()
     const [target, leaver] = [instances[0]!, instances[1]!]
     const recorded = fake.network.sent.filter(({ from, to }) => from === leaver.address && to === target.address)
@@ -67,7 +67,7 @@
     t.is(after.traffic.replayed, before.traffic.replayed + recorded.length)
   })
 
-  it('cost a broken message nothing but a count, though a member signed it', async t => {
+  it('only increase a counter when malformed, even if a member signed them', async t => {
     const { clock, fake, instances } = await createFleet()
     const target = instances[0]!
     const before = target.fleet.dump()
@@ -78,7 +78,7 @@
     t.is(target.fleet.dump().traffic.forged, before.traffic.forged + bodies.length)
   })
 
-  it('do not stop the fleet while its key is rotated', async t => {
+  it('are not counted, and no member is lost, while the key is rotated', async t => {
     const { clock, instances } = await createFleet()
     const next = { id: 'k2', secret: 'the next secret of sixteen', permissions: [Permission.Join] }
     for (const keys of [[testKey, next], [next, testKey], [next]]) {
--- a/packages/foxtaillever-fleet/src/cacheEvents/__tests__/cacheEvents.test.ts
+++ b/packages/foxtaillever-fleet/src/cacheEvents/__tests__/cacheEvents.test.ts
@@ -95,7 +95,7 @@
         members: () => members,
         servers: () => servers,
         clock,
-        share: (_, key, value) => { shared.push([key, value as CacheSummary]) },
+        announceFact: (_, key, value) => { shared.push([key, value as CacheSummary]) },
         events: {
           watch: (server, listener) => {
             streams.set(`${name}/${server.name}`, listener)
--- a/packages/foxtaillever-fleet/src/cacheEvents/cacheEventSystem.ts
+++ b/packages/foxtaillever-fleet/src/cacheEvents/cacheEventSystem.ts
@@ -52,7 +52,7 @@
   readonly members: () => readonly Named[]
   readonly servers: () => readonly BackendServer[]
   readonly events: CacheEvents
-  readonly share: (kind: FactKind, key: string, value: unknown, deadline: number) => void
+  readonly announceFact: (kind: FactKind, key: string, value: unknown, deadline: number) => void
   readonly clock: Clock
 }
 
@@ -137,6 +137,6 @@
       doubtful: watch.prefixTable.isDoubtful(now),
       prefixes: watch.prefixTable.hottest(SUMMARY_PREFIXES).map(({ account, prefix }) => prefixHashOf(account, prefix))
     }
-    this.parts.share(FactKind.CacheSummary, name, summary, now + SUMMARY_LIFETIME_MS)
+    this.parts.announceFact(FactKind.CacheSummary, name, summary, now + SUMMARY_LIFETIME_MS)
   }
 }
--- a/packages/foxtaillever-fleet/src/cacheEvents/cachedPrefixTable.ts
+++ b/packages/foxtaillever-fleet/src/cacheEvents/cachedPrefixTable.ts
@@ -111,7 +111,7 @@
     const key = keyOf(event)
     const storeCount = (this.prefixes.get(key)?.storeCount ?? 0) + 1
     this.prefixes.delete(key)
-    this.prefixes.set(key, { account: event.account, prefix: event.prefix, tokens: event.tokens, storedAt: now, storeCount: storeCount })
+    this.prefixes.set(key, { account: event.account, prefix: event.prefix, tokens: event.tokens, storedAt: now, storeCount })
     if (this.prefixes.size > MAX_PREFIXES) {
       const oldest = this.prefixes.keys().next().value
       this.prefixes.delete(oldest!)
--- a/packages/foxtaillever-fleet/src/fleet.ts
+++ b/packages/foxtaillever-fleet/src/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * One instance among the others: the face that the router sees. Tables hold
- * what is known, systems run over them each tick, one thread does it all.
+ * One instance's membership in the fleet, as the router uses it. Tables hold the
+ * state, and systems process it each tick, all on one thread.
  */
 import type { Cancellation, Clock, InstanceList, Log, Random } from 'foxtaillever-core'
 import { ConfigurationStore } from './configuration/configurationStore.js'
@@ -22,56 +22,56 @@
 import type { Fact, FactKind } from './softState/fact.js'
 import type { FactListener } from './softState/factSystem.js'
 
-/** Period of the systems, milliseconds. Two a second find a dead member in two and stay within the bytes. */
+/** Period of the systems, milliseconds. Two ticks a second detect a dead member within two seconds and stay within the byte budget. */
 export const TICK_MS = 500
 
-/** Random part of a period, milliseconds, so that instances started together do not send together. */
+/** Random part of a period, milliseconds, so that instances that start at the same time do not send at the same time. */
 const TICK_SPREAD_MS = 50
 
-/** A tick this late means that the process itself was paused, milliseconds. */
-const PAUSE_MS = 2500
+/** Time between two ticks that shows that the process was suspended, milliseconds. */
+const PAUSE_THRESHOLD_MS = 2500
 
-/** How long after the last word of any other an instance still counts as in touch, milliseconds. */
-const TOUCH_MS = 5000
+/** How long an instance counts as in contact after the last message of any other instance, milliseconds. */
+const CONTACT_TIMEOUT_MS = 5000
 
 export interface FleetOptions {
   readonly self: SelfDescription
-  /** Addresses for datagrams of some instances, besides what the platform lists. */
+  /** Datagram addresses of some instances, in addition to those that the platform lists. */
   readonly seeds: readonly string[]
   readonly log: Log
-  /** How long the platform keeps records, milliseconds. */
+  /** How long the platform's log retains records, milliseconds. */
   readonly logRetentionMs: number
   readonly instances: InstanceList
-  /** The address for datagrams of a listed instance, where it is not the listed one. */
+  /** The datagram address of a listed instance, where it differs from the listed address. */
   readonly gossipAddressOf?: ListedAddress
   readonly datagrams: Datagrams
   readonly peers: Peers
   readonly keys: KeyRing
   readonly clock: Clock
   readonly random: Random
-  /** Further readers of the log; they see each record after the configuration. */
+  /** Further readers of the log; they get each record after the configuration store. */
   readonly readers?: readonly RecordReader[]
-  /** Hears of records that left the log unread. */
+  /** Called when records expired before they were read. */
   readonly onGap?: GapListener
 }
 
 export class Fleet implements PeerSource {
   readonly store: ConfigurationStore
   private readonly publisher: Publisher
-  private readonly snapshots: SnapshotWriter
+  private readonly snapshotWriter: SnapshotWriter
   private readonly reader: LogReader
   private readonly membership: Membership
   private readonly systems: Systems
   private cancelTick: Cancellation = () => {}
   private lastTickAt = 0
-  private running = false
+  private isRunning = false
 
   private constructor (private readonly options: FleetOptions) {
     const { log, clock, random, keys, datagrams } = options
     this.store = ConfigurationStore.create()
     this.publisher = Publisher.create(log, this.store, clock, random)
-    this.snapshots = SnapshotWriter.create(log, this.store, clock, random, options.logRetentionMs)
-    this.reader = LogReader.create(log, clock, [this.store.applyRecord, this.publisher.handleRecord, this.snapshots.handleRecord, ...options.readers ?? []], (first, page) => {
+    this.snapshotWriter = SnapshotWriter.create(log, this.store, clock, random, options.logRetentionMs)
+    this.reader = LogReader.create(log, clock, [this.store.applyRecord, this.publisher.handleRecord, this.snapshotWriter.handleRecord, ...options.readers ?? []], (first, page) => {
       this.store.noteFirstRetainedOffset(first)
       options.onGap?.(first, page)
     })
@@ -86,67 +86,67 @@
     return new Fleet(options)
   }
 
-  /** Opens the socket, starts to read the log and to look for others; waits for none of them. */
+  /** Opens the socket, and starts to read the log and to find other instances without waiting for either. */
   async start (): Promise<void> {
     await this.membership.messenger.open(message => this.systems.receive(message), message => this.systems.answerSuperseded(message))
-    this.running = true
+    this.isRunning = true
     this.lastTickAt = this.options.clock.now()
     this.reader.start()
     this.tick()
   }
 
-  /** Names the addresses that the system chose; to be called before the start. */
+  /** Sets the addresses that the operating system assigned; to be called before the start. */
   setAddresses (addresses: Pick<SelfDescription, 'address' | 'controlAddress'>): void {
     this.membership.self.setAddresses(addresses)
     this.membership.announce()
   }
 
-  /** Tells the others that this instance leaves; it still answers them. */
+  /** Announces that this instance leaves; it still answers messages. */
   leave (): void {
     this.systems.news.sayGoodbye()
   }
 
-  /** Leaves and closes. */
+  /** Leaves the fleet and closes the socket. */
   async stop (): Promise<void> {
-    if (!this.running) {
+    if (!this.isRunning) {
       return
     }
     this.leave()
-    this.running = false
+    this.isRunning = false
     this.cancelTick()
     this.reader.stop()
     await this.membership.messenger.close()
   }
 
-  /** Members that are alive, this instance included, in order of name. */
+  /** Live members, this instance included, sorted by name. */
   members (): readonly Member[] {
     return this.membership.table.alive()
   }
 
-  /** Rises with each change of members; what is computed from them holds for one version. */
+  /** Increases with each change of members; values computed from the members are valid for one version. */
   membersVersion (): number {
     return this.membership.table.version()
   }
 
-  /** Probes a member at once, for a caller that it did not answer. */
-  doubt (name: string): void {
+  /** Probes a member at once, because it did not answer a call. */
+  probeMember (name: string): void {
     const member = this.membership.table.get(name)
     if (member !== undefined) {
       this.systems.probes.probe(member)
     }
   }
 
-  /** Whether another has been heard lately; an instance alone in its fleet never is. */
-  isInTouch (): boolean {
-    return this.options.clock.now() - this.membership.contacts.lastHeardAt() < TOUCH_MS
+  /** Whether a message of another instance arrived recently; never true for the only instance of a fleet. */
+  hasRecentContact (): boolean {
+    return this.options.clock.now() - this.membership.contacts.lastHeardAt() < CONTACT_TIMEOUT_MS
   }
 
-  /** Whether a later process bears this instance's name; it should stop. */
+  /** Whether a newer process has this instance's name; if so, this process should stop. */
   isSuperseded (): boolean {
     return this.membership.self.isSuperseded()
   }
 
-  /** The reader of the log, for what it says of the log's state. */
+  /** The reader of the log, which reports the log's state. */
   logReader (): LogReader {
     return this.reader
   }
@@ -155,17 +155,17 @@
     return await this.publisher.publish(request)
   }
 
-  /** Answers when all live members have the revision in force, at the latest at the deadline. */
+  /** Resolves when all live members have the revision in force, at the latest at the deadline. */
   async waitInForce (revision: number, deadline: number): Promise<InForce> {
     return await this.systems.inForce.waitForRevision(revision, deadline)
   }
 
-  /** Tells all instances a fact until its deadline; false when it is too large. */
-  share (kind: FactKind, key: string, value: unknown, deadline: number): boolean {
+  /** Announces a fact to all instances, valid until its deadline; returns false if the fact is too large. */
+  announceFact (kind: FactKind, key: string, value: unknown, deadline: number): boolean {
     return this.systems.facts.share(kind, key, value, deadline)
   }
 
-  /** Facts that hold now, this instance's own included. */
+  /** Currently valid facts, this instance's own included. */
   facts (kind: FactKind): readonly Fact[] {
     return this.systems.facts.table.of(kind)
   }
@@ -175,37 +175,37 @@
     return this.systems.facts.onFact(listener)
   }
 
-  /** What a peer gets that asks for the configuration. */
+  /** Response to a peer that requests the configuration. */
   configuration () {
     return this.store.current()
   }
 
-  /** What a peer gets that is a few revisions behind. */
+  /** Response to a peer that is a few revisions behind. */
   changesSince (revision: number) {
     return this.store.changesSince(revision)
   }
 
-  /** What a peer gets that asks for the table of members. */
+  /** Response to a peer that requests the member table. */
   memberEntries () {
     return this.membership.table.all()
   }
 
   dump (): FleetDump {
-    return createDump(this.membership, this.store, this.reader, this.systems, this.snapshots)
+    return createDump(this.membership, this.store, this.reader, this.systems, this.snapshotWriter)
   }
 
   private tick (): void {
-    if (!this.running) {
+    if (!this.isRunning) {
       return
     }
     const { clock, random } = this.options
     const now = clock.now()
-    if (now - this.lastTickAt > PAUSE_MS) {
+    if (now - this.lastTickAt > PAUSE_THRESHOLD_MS) {
       this.systems.wake()
     }
     this.lastTickAt = now
     this.systems.tick()
-    this.snapshots.tick()
+    this.snapshotWriter.tick()
     this.cancelTick = clock.at(now + TICK_MS + random.below(TICK_SPREAD_MS), () => this.tick())
   }
 }
--- a/packages/foxtaillever-fleet/src/fleetDump.ts
+++ b/packages/foxtaillever-fleet/src/fleetDump.ts
@@ -1,5 +1,5 @@
 /**
- * The state of one instance's share in the fleet, for operators.
+ * A dump of one instance's state in the fleet, for operators.
  */
 import type { ConfigurationStore } from './configuration/configurationStore.js'
 import type { SnapshotWriter } from './configuration/snapshotWriter.js'
@@ -9,7 +9,7 @@
 import type { Traffic } from './membership/messenger.js'
 import type { Systems } from './membership/systems.js'
 
-/** One member as the dump shows it. */
+/** One member in the dump. */
 export interface DumpedMember {
   readonly name: string
   readonly address: string
--- a/packages/foxtaillever-fleet/src/index.ts
+++ b/packages/foxtaillever-fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of what instances share. */
+/** Public interface of the state and protocols that instances share. */
 export * from './claims/claim.js'
 export * from './claims/claimFold.js'
 export * from './claims/claimKeeper.js'
--- a/packages/foxtaillever-fleet/src/softState/__tests__/softState.test.ts
+++ b/packages/foxtaillever-fleet/src/softState/__tests__/softState.test.ts
@@ -57,7 +57,7 @@
     const { clock, instances } = await createFleet(12)
     const heard: string[] = []
     instances[11]!.fleet.onFact(({ key }) => heard.push(key))
-    t.true(instances[0]!.fleet.share(FactKind.Suspect, 'digest', { deaths: 1 }, clock.now() + 5000))
+    t.true(instances[0]!.fleet.announceFact(FactKind.Suspect, 'digest', { deaths: 1 }, clock.now() + 5000))
     await clock.advanceBy(1200)
     instances.forEach(({ fleet }) => t.deepEqual(fleet.facts(FactKind.Suspect).map(({ value }) => value), [{ deaths: 1 }]))
     t.deepEqual(heard, ['digest'])
@@ -72,14 +72,14 @@
     const [sender, receiver] = [instances[0]!.fleet, instances[1]!.fleet]
     const shareAll = (): void => {
       for (let index = 0; index < 400; index += 1) {
-        sender.share(FactKind.HotPrefix, `prefix-${index}`, index, clock.now() + 60_000)
+        sender.announceFact(FactKind.HotPrefix, `prefix-${index}`, index, clock.now() + 60_000)
       }
     }
     shareAll()
     await clock.advanceBy(600)
     const waiting = sender.dump().factsWaiting
     shareAll()
-    sender.share(FactKind.Suspect, 'digest', 1, clock.now() + 60_000)
+    sender.announceFact(FactKind.Suspect, 'digest', 1, clock.now() + 60_000)
     await clock.advanceBy(600)
     t.is(receiver.facts(FactKind.Suspect).length, 1)
     t.true(waiting <= 1200 && sender.dump().factsWaiting <= 1201)
@@ -89,6 +89,6 @@
 
   it('refuses a fact that no datagram carries', async t => {
     const { clock, instances } = await createFleet(2)
-    t.false(instances[0]!.fleet.share(FactKind.HotPrefix, 'prefix', 'x'.repeat(2000), clock.now() + 1000))
+    t.false(instances[0]!.fleet.announceFact(FactKind.HotPrefix, 'prefix', 'x'.repeat(2000), clock.now() + 1000))
   })
 })
--- a/packages/foxtaillever-router/src/instance/__tests__/serverWatch.test.ts
+++ b/packages/foxtaillever-router/src/instance/__tests__/serverWatch.test.ts
@@ -51,7 +51,7 @@
           this.listeners.push(listener)
           return () => {}
         },
-        share: (kind, key, value, deadline) => {
+        announceFact: (kind, key, value, deadline) => {
           const fact = { source: name, kind, key, version: 1, deadline, value }
           this.shared.push(fact)
           this.listeners.forEach(listener => listener(fact))
--- a/packages/foxtaillever-router/src/instance/serverWatch.ts
+++ b/packages/foxtaillever-router/src/instance/serverWatch.ts
@@ -56,7 +56,7 @@
 
 export interface ServerWatchOptions {
   readonly clock: Clock
-  readonly fleet: Pick<Fleet, 'members' | 'share' | 'onFact'>
+  readonly fleet: Pick<Fleet, 'members' | 'announceFact' | 'onFact'>
   readonly core: Pick<RouterCore, 'inFlight' | 'observeLoad'>
   readonly engines: { readonly of: (server: BackendServer) => Pick<Engine, 'load'> }
   readonly name: string
@@ -129,7 +129,7 @@
       return
     }
     this.told.set(server, { incarnation: load.incarnation, nextAt: now + TOLD_EVERY_MS })
-    fleet.share(FactKind.ServerLoad, server, packLoad(load), now + FACT_KEPT_MS)
+    fleet.announceFact(FactKind.ServerLoad, server, packLoad(load), now + FACT_KEPT_MS)
   }
 
   private take (fact: Fact): void {
--- a/packages/foxtaillever-router/src/instance/softStateExchange.ts
+++ b/packages/foxtaillever-router/src/instance/softStateExchange.ts
@@ -63,7 +63,7 @@
     const demands = this.options.scheduler.demandToShare(now)
     if (demands.length > 0) {
       const value = demands.map(({ account, tokensPerSecond }) => [account, Math.round(tokensPerSecond)])
-      this.options.fleet.share(FactKind.AccountDemand, DEMAND_KEY, value, now + DEMAND_KEPT_MS)
+      this.options.fleet.announceFact(FactKind.AccountDemand, DEMAND_KEY, value, now + DEMAND_KEPT_MS)
     }
   }
 
@@ -73,7 +73,7 @@
       const told = this.told.get(fact.fingerprint)
       if (!told || told.again <= now || told.text !== text) {
         this.told.set(fact.fingerprint, { again: now + SUSPECT_TOLD_MS / 3, text })
-        this.options.fleet.share(FactKind.Suspect, fact.fingerprint, fact, Math.min(fact.expiresAt, now + SUSPECT_TOLD_MS))
+        this.options.fleet.announceFact(FactKind.Suspect, fact.fingerprint, fact, Math.min(fact.expiresAt, now + SUSPECT_TOLD_MS))
       }
     }
     for (const [fingerprint, { again }] of this.told) {
