--- a/packages/foxtaillever-fleet/src/__fixtures__/fakeFleet.ts
+++ b/packages/foxtaillever-fleet/src/__fixtures__/fakeFleet.ts
@@ -87,7 +87,7 @@
       const instance = [...this.instances.values()].find(candidate => candidate.address === address)
       return this.network.isReachable(from, address) ? instance?.fleet : undefined
     }
-    const refused = Left(Failure.notRun(FailureCode.ConnectionRefused, 'Nobody answers.'))
+    const refused = Left(Failure.notRun(FailureCode.ConnectionRefused, 'No instance answers.'))
     return {
       configuration: async address => {
         const fleet = findReachable(address)
--- a/packages/foxtaillever-fleet/src/configuration/__tests__/configurationStore.test.ts
+++ b/packages/foxtaillever-fleet/src/configuration/__tests__/configurationStore.test.ts
@@ -108,7 +108,7 @@
       const behind = storeAfter(records.slice(0, 2))
       const changes = peer.changesSince(2)!
       t.deepEqual(changes.records.map(({ offset }) => offset), [4, 6])
-      t.is(behind.offerChanges(changes), OfferOutcome.Taken)
+      t.is(behind.offerChanges(changes), OfferOutcome.Adopted)
       t.is(behind.current().digest, peer.current().digest)
       t.is(behind.current().offset, 6)
       t.is(behind.offerChanges(changes), OfferOutcome.Older)
@@ -132,15 +132,15 @@
       // An instance was suspended for longer than the retention. If it folded the
       // later records on top of its old configuration, it would accept changes that
       // all other instances refused.
-      const whole = storeAfter([changeRecord(1, 0), changeRecord(2, 1)])
+      const complete = storeAfter([changeRecord(1, 0), changeRecord(2, 1)])
       const store = storeAfter([changeRecord(1, 0), changeRecord(4, 1)])
       t.true(store.hasGap())
       t.is(store.configuration().revision, 1)
-      ;[otherRecord(3), changeRecord(4, 1), changeRecord(5, 2)].forEach(record => whole.applyRecord(record))
+      ;[otherRecord(3), changeRecord(4, 1), changeRecord(5, 2)].forEach(record => complete.applyRecord(record))
       store.applyRecord(changeRecord(5, 2))
-      store.applyRecord(snapshotRecord(6, whole))
+      store.applyRecord(snapshotRecord(6, complete))
       t.false(store.hasGap())
-      t.is(store.current().digest, whole.current().digest)
+      t.is(store.current().digest, complete.current().digest)
       t.is(store.current().offset, 6)
     })
 
@@ -162,7 +162,7 @@
     it('closes the gap with the copy of a peer', t => {
       const peer = storeAfter([changeRecord(1, 0), changeRecord(2, 1), otherRecord(3), changeRecord(4, 2)])
       const store = storeAfter([changeRecord(1, 0), changeRecord(4, 2), changeRecord(5, 4)])
-      t.is(store.offerCopy(peer.current()), OfferOutcome.Taken)
+      t.is(store.offerCopy(peer.current()), OfferOutcome.Adopted)
       t.is(store.configuration().revision, 5)
       t.false(store.hasGap())
     })
@@ -176,7 +176,7 @@
       store.applyRecord(changeRecord(5, 1))
       t.is(store.configuration().revision, 1)
       const peer = storeAfter([changeRecord(1, 0), changeRecord(2, 1), otherRecord(3), otherRecord(4)])
-      t.is(store.offerCopy(peer.current()), OfferOutcome.Taken)
+      t.is(store.offerCopy(peer.current()), OfferOutcome.Adopted)
       t.is(store.configuration().revision, 2)
       t.is(store.current().offset, 5)
     })
--- a/packages/foxtaillever-fleet/src/configuration/configurationStore.ts
+++ b/packages/foxtaillever-fleet/src/configuration/configurationStore.ts
@@ -12,7 +12,7 @@
 
 /** Result of offering a peer's copy to the store. */
 export enum OfferOutcome {
-  Taken = 'taken',
+  Adopted = 'adopted',
   Older = 'older',
   /** The digest does not match the contents. */
   Damaged = 'damaged',
@@ -100,7 +100,7 @@
       return OfferOutcome.Older
     }
     this.advanceTo(this.foldBacklogOnto(copy))
-    return OfferOutcome.Taken
+    return OfferOutcome.Adopted
   }
 
   /** Records accepted since the revision; undefined when the recent records do not reach back to it. */
--- a/packages/foxtaillever-fleet/src/configuration/pullSystem.ts
+++ b/packages/foxtaillever-fleet/src/configuration/pullSystem.ts
@@ -108,7 +108,7 @@
     }
     const answer = await this.parts.peers.changes?.(address, this.store.configuration().revision)
     const outcome = answer?.map(changes => this.store.offerChanges(changes)).toMaybe().extractNullable()
-    this.pulled += outcome === OfferOutcome.Taken ? 1 : 0
-    return outcome === OfferOutcome.Taken || outcome === OfferOutcome.Older
+    this.pulled += outcome === OfferOutcome.Adopted ? 1 : 0
+    return outcome === OfferOutcome.Adopted || outcome === OfferOutcome.Older
   }
 }
