--- a/packages/foxtaillever-capacity/src/members/hostedMember.ts
+++ b/packages/foxtaillever-capacity/src/members/hostedMember.ts
@@ -67,12 +67,12 @@
   }
 
   take (record: LogRecord): void {
-    this.fleet.store.take(record)
+    this.fleet.store.applyRecord(record)
   }
 
   share (count: number): void {
     for (let index = 0; index < count; index += 1) {
-      this.fleet.share(FactKind.AccountDemand, `account-${index}`, [1234, 56], this.clock.now() + FACT_MS)
+      this.fleet.announceFact(FactKind.AccountDemand, `account-${index}`, [1234, 56], this.clock.now() + FACT_MS)
     }
   }
 
--- a/packages/foxtaillever-fleet/src/index.ts
+++ b/packages/foxtaillever-fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of what instances share. */
+/** Public interface of the state and protocols that instances share. */
 export * from './claims/claim.js'
 export * from './claims/claimFold.js'
 export * from './claims/claimManager.js'
@@ -31,6 +31,6 @@
 export * from './security/seal.js'
 export * from './cacheEvents/cacheEvent.js'
 export * from './cacheEvents/cacheEventSystem.js'
-export * from './cacheEvents/cacheKnowledge.js'
+export * from './cacheEvents/cachedPrefixTable.js'
 export * from './leases/orderSystem.js'
 export * from './leases/desiredOrders.js'
--- a/packages/foxtaillever-router/src/instance/entryInstance.ts
+++ b/packages/foxtaillever-router/src/instance/entryInstance.ts
@@ -159,7 +159,7 @@
       plain: this.plain,
       accounts: this.accounts,
       tokens: StreamTokens.create(this.keys),
-      configuration: () => this.fleet.store.isKnown() ? this.configuration() : undefined,
+      configuration: () => this.fleet.store.hasConfiguration() ? this.configuration() : undefined,
       onRejected: (requestId, failure) => this.telemetry.rejected(requestId, failure),
       accepting: () => this.accepting,
       limits: this.options.limits
--- a/packages/foxtaillever-router/src/instance/serverLoadMonitor.ts
+++ b/packages/foxtaillever-router/src/instance/serverLoadMonitor.ts
@@ -56,7 +56,7 @@
 
 export interface ServerLoadMonitorOptions {
   readonly clock: Clock
-  readonly fleet: Pick<Fleet, 'members' | 'share' | 'onFact'>
+  readonly fleet: Pick<Fleet, 'members' | 'announceFact' | 'onFact'>
   readonly core: Pick<RouterCore, 'inFlight' | 'applyLoadReport'>
   readonly engines: { readonly of: (server: BackendServer) => Pick<Engine, 'load'> }
   readonly name: string
@@ -129,7 +129,7 @@
       return
     }
     this.announced.set(server, { incarnation: load.incarnation, nextAt: now + ANNOUNCE_INTERVAL_MS })
-    fleet.share(FactKind.ServerLoad, server, packLoad(load), now + FACT_KEPT_MS)
+    fleet.announceFact(FactKind.ServerLoad, server, packLoad(load), now + FACT_KEPT_MS)
   }
 
   private applyFact (fact: Fact): void {
--- a/packages/foxtaillever-router/src/instance/softStateSharing.ts
+++ b/packages/foxtaillever-router/src/instance/softStateSharing.ts
@@ -62,7 +62,7 @@
     const demands = this.options.scheduler.demandToAnnounce(now)
     if (demands.length > 0) {
       const value = demands.map(({ account, tokensPerSecond }) => [account, Math.round(tokensPerSecond)])
-      this.options.fleet.share(FactKind.AccountDemand, DEMAND_KEY, value, now + DEMAND_KEPT_MS)
+      this.options.fleet.announceFact(FactKind.AccountDemand, DEMAND_KEY, value, now + DEMAND_KEPT_MS)
     }
   }
 
@@ -72,7 +72,7 @@
       const last = this.announced.get(fact.fingerprint)
       if (!last || last.announceAgainAt <= now || last.text !== text) {
         this.announced.set(fact.fingerprint, { announceAgainAt: now + SUSPECT_KEPT_MS / 3, text })
-        this.options.fleet.share(FactKind.Suspect, fact.fingerprint, fact, Math.min(fact.expiresAt, now + SUSPECT_KEPT_MS))
+        this.options.fleet.announceFact(FactKind.Suspect, fact.fingerprint, fact, Math.min(fact.expiresAt, now + SUSPECT_KEPT_MS))
       }
     }
     for (const [fingerprint, { announceAgainAt: again }] of this.announced) {
