--- a/packages/foxtaillever-fleet/src/configuration/configurationStore.ts
+++ b/packages/foxtaillever-fleet/src/configuration/configurationStore.ts
@@ -12,7 +12,7 @@
 
 /** Result of offering a peer's copy to the store. */
 export enum OfferOutcome {
-  Adopted = 'adopted',
+  Adopted = 'taken',
   Older = 'older',
   /** The digest does not match the contents. */
   Damaged = 'damaged',
--- a/packages/foxtaillever-fleet/src/configuration/foldConfiguration.ts
+++ b/packages/foxtaillever-fleet/src/configuration/foldConfiguration.ts
@@ -12,7 +12,7 @@
   /** The record builds on a revision that is no longer in force (another operator was first), or cannot be applied. */
   Refused = 'refused',
   /** Neither a configuration record nor a snapshot, or a snapshot that is no newer than the configuration. */
-  Skipped = 'skipped'
+  Skipped = 'passed'
 }
 
 export interface FoldStep {
