--- a/packages/foxtaillever-core/src/callerProtocol.ts
+++ b/packages/foxtaillever-core/src/callerProtocol.ts
@@ -1,5 +1,6 @@
 /**
- * Names of the callers' protocol beyond the usual completions calls.
+ * Header names of the callers' protocol, including those that the completions
+ * protocol lacks.
  */
 export enum CallerHeader {
   Authorization = 'authorization',
@@ -8,13 +9,13 @@
   NonIdempotent = 'x-non-idempotent',
   /** Absolute deadline, milliseconds of Unix time. */
   Deadline = 'x-request-deadline',
-  /** Deadline counted from arrival, for callers without a good clock. */
+  /** Time from arrival to deadline, for callers without an accurate clock. */
   Timeout = 'x-request-timeout-ms',
   Priority = 'x-priority',
   RequestId = 'x-request-id',
-  /** The stream goes on when its caller is cut off, so that it can be taken up again. */
+  /** The stream continues when its caller's connection is lost, so that it can be resumed. */
   KeepStream = 'x-keep-stream',
-  /** On a streamed answer: opens it again through any instance. */
+  /** On a streamed answer: resumes it through any instance. */
   StreamToken = 'x-stream-token',
   Verdict = 'x-verdict',
   RetryAfter = 'retry-after'
--- a/packages/foxtaillever-core/src/clock.ts
+++ b/packages/foxtaillever-core/src/clock.ts
@@ -1,24 +1,24 @@
 /**
- * Time as the rest of the system sees it. Modules store deadlines (milliseconds
- * of Unix time), never durations, and take the clock from outside so that a run
- * can be replayed from its seed.
+ * The clock that all modules use. They store deadlines (milliseconds of Unix
+ * time), never durations, and get the clock passed in, so that a run can be
+ * replayed from its seed.
  */
 
-/** Undoes a scheduled task; harmless when the task has run. */
+/** Cancels a scheduled task; has no effect when the task has run. */
 export type Cancellation = () => void
 
 export interface Clock {
   /** Milliseconds of Unix time. */
   now: () => number
-  /** Runs the task once, not before the deadline. */
+  /** Runs the task once, at the deadline or later. */
   at: (deadline: number, task: () => void) => Cancellation
 }
 
-/** Node rejects longer timers; they are shortened and set again. */
-const LONGEST_TIMER_MS = 2_000_000_000
+/** Node does not support longer timers; a longer wait is split into several. */
+const MAX_TIMER_MS = 2_000_000_000
 
 /**
- * The machine's clock. It is read once from the wall and then follows the
+ * The machine's clock. It reads the wall clock once and then follows the
  * monotonic clock, so a step of the wall clock moves no stored deadline.
  */
 export class SystemClock implements Clock {
@@ -33,7 +33,7 @@
   }
 
   at (deadline: number, task: () => void): Cancellation {
-    // A timer waits a millisecond at least; what is due goes to the next turn of the loop.
+    // A timer waits at least a millisecond; a task that is due runs in the next turn of the event loop.
     if (deadline <= this.now()) {
       const immediate = setImmediate(task)
       return () => clearImmediate(immediate)
@@ -41,7 +41,7 @@
     let timer: NodeJS.Timeout
     const arm = (): void => {
       const wait = Math.max(0, deadline - this.now())
-      timer = wait > LONGEST_TIMER_MS ? setTimeout(arm, LONGEST_TIMER_MS) : setTimeout(task, wait)
+      timer = wait > MAX_TIMER_MS ? setTimeout(arm, MAX_TIMER_MS) : setTimeout(task, wait)
     }
     arm()
     return () => clearTimeout(timer)
@@ -54,34 +54,35 @@
 }
 
 /**
- * Runs the task at the deadline, once what has arrived by then was read. A loop
- * that was held up, by its own work or because the machine stood still, finds
- * its timers due before it reads its sockets: an answer that came in time would
- * be taken for silence.
+ * Runs the task at the deadline, after everything that has arrived by then was
+ * read. After a delay, by its own work or because the machine was suspended, the
+ * event loop runs due timers before it reads sockets: an answer that arrived in
+ * time would count as missing.
  */
 export function atAfterReading (clock: Clock, deadline: number, task: () => void): Cancellation {
   let cancel = clock.at(deadline, () => {
-    // What is due already runs after the loop's next turn at its sockets.
+    // A task that is due already runs after the event loop has read its sockets once.
     cancel = clock.at(clock.now(), task)
   })
   return () => cancel()
 }
 
-/** A timer that fires this late says that the process stood still, milliseconds; a busy loop is late by some ten. */
+/** A timer that fires this late shows that the process was suspended, milliseconds; a busy event loop is about ten late. */
 const STALL_MS = 50
 
-/** Longest time that is given back after a stall, milliseconds: a call that was under way needs no more once the process runs. */
-const MOST_GIVEN_BACK_MS = 1000
+/** Longest extension of a deadline after a stall, milliseconds: a call in flight needs no more once the process runs again. */
+const MAX_EXTENSION_MS = 1000
 
 /**
- * Runs the task when another process has had until the deadline to answer. Time
- * in which this process stood still is given back once: it may not have sent its
- * call yet, and a silence that it could not hear says nothing of the other side.
+ * Runs the task when another process has had until the deadline to answer. If
+ * this process was suspended meanwhile, the deadline is extended once by that
+ * time: this process may not have sent its call yet, and an answer that it could
+ * not receive says nothing about the other process.
  */
 export function atAfterSilence (clock: Clock, deadline: number, task: () => void): Cancellation {
   let cancel = clock.at(deadline, () => {
     const lateMs = clock.now() - deadline
-    const until = lateMs > STALL_MS ? clock.now() + Math.min(lateMs, MOST_GIVEN_BACK_MS) : deadline
+    const until = lateMs > STALL_MS ? clock.now() + Math.min(lateMs, MAX_EXTENSION_MS) : deadline
     cancel = atAfterReading(clock, until, task)
   })
   return () => cancel()
--- a/packages/foxtaillever-core/src/configuration.ts
+++ b/packages/foxtaillever-core/src/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' configuration, as it stands after folding the log. Durations
- * are what operators write; code turns each into a stored deadline when used.
+ * The operators' configuration, as it is after folding the log. It holds
+ * durations, as operators write them; code turns each into a deadline on use.
  */
 
 export enum PresetName {
@@ -20,7 +20,7 @@
   Plain = 'plain'
 }
 
-/** How a backend server is chosen; the first four are baselines to measure against. */
+/** How a backend server is selected; the first four are baselines for measurements. */
 export enum PlacementPolicy {
   Random = 'random',
   RoundRobin = 'round-robin',
@@ -29,7 +29,7 @@
   ExpectedFirstToken = 'expected-first-token'
 }
 
-/** Operators' word for a backend server, besides what the instance list says. */
+/** State of a backend server that operators set, independent of the instance list. */
 export enum AdministrativeState {
   InService = 'in-service',
   Draining = 'draining'
@@ -51,7 +51,7 @@
 export interface BackendServer {
   readonly name: string
   readonly kind: ServerKind
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string
   readonly failureDomain: string
   readonly models: readonly string[]
@@ -59,11 +59,11 @@
   readonly slots: number
   readonly prefillTokensPerSecond: number
   readonly decodeTokensPerSecond: number
-  /** Room for cached blocks, tokens. */
+  /** Capacity for cached blocks, tokens. */
   readonly cacheTokens: number
   /** Whether it refuses orders with an old fencing number. */
   readonly checksFencing: boolean
-  /** Whether it checks who gives it an order. */
+  /** Whether it checks the sender of an order. */
   readonly checksCaller: boolean
   readonly state: AdministrativeState
 }
@@ -74,10 +74,10 @@
   readonly adapters: readonly string[]
 }
 
-/** One call of a plain service; the first entry that matches counts. */
+/** One call of a plain service; the first entry that matches applies. */
 export interface PlainCall {
   readonly method: string
-  /** Path prefix below the service's own. */
+  /** Path prefix below that of the service. */
   readonly path: string
   /** Whether the service itself allows the call to be repeated. */
   readonly idempotent: boolean
@@ -94,26 +94,26 @@
   readonly timeoutMs: number
 }
 
-/** What a preset puts in force. */
+/** Settings that operators switch together. */
 export interface Preset {
   readonly name: PresetName
   readonly placement: PlacementPolicy
-  /** Retries as a share of first tries, 0 to 1. */
+  /** Retries as a share of first attempts, 0 to 1. */
   readonly retryShare: number
   /** Requests waiting at one instance before new ones are refused. */
   readonly queueLimit: number
-  /** Deadline of a request that names none, after its arrival. */
+  /** Time from arrival to deadline, for a request that names no deadline. */
   readonly defaultTimeoutMs: number
-  /** Share of dispatches kept for lower classes, 0 to 1. */
+  /** Share of dispatches reserved for lower classes, 0 to 1. */
   readonly floorShare: number
-  /** Most backend servers of a model set aside as slow at once, 0 to 1. */
+  /** Largest share of a model's backend servers excluded as slow at once, 0 to 1. */
   readonly ejectedShare: number
-  /** How much a prefill done again weighs against waiting; 1 when not given, more for a higher hit rate. */
+  /** Weight of a repeated prefill against waiting; 1 when not given, more for a higher hit rate. */
   readonly recomputationWeight: number
 }
 
 export interface Configuration {
-  /** Log offset of the last record folded in; 0 when none. */
+  /** Log offset of the last folded record; 0 when none. */
   readonly revision: number
   readonly accounts: Readonly<Record<string, ClientAccount>>
   readonly servers: Readonly<Record<string, BackendServer>>
--- a/packages/foxtaillever-core/src/engineOrders.ts
+++ b/packages/foxtaillever-core/src/engineOrders.ts
@@ -1,11 +1,12 @@
 /**
- * Orders to a model engine, its observed state, its cache events and its kept
- * cache, as engines publish them. Some engines check the fencing number and the
- * caller of an order, some ignore both; the configuration says which.
+ * Orders to a model engine, its observed state, its cache events and its cache
+ * entries outside the engine, as engines publish them. Some engines check the
+ * fencing number and the caller of an order, some ignore both; the configuration
+ * says which.
  */
 import type { CacheIdentity } from './identity.js'
 
-/** What part of the work an engine takes. */
+/** Phases of a request that an engine runs. */
 export enum EngineRole {
   Mixed = 'mixed',
   Prefill = 'prefill',
@@ -26,7 +27,7 @@
   | { readonly id: string, readonly kind: OrderKind.LoadAdapter, readonly model: string, readonly adapter: string }
   | { readonly id: string, readonly kind: OrderKind.ChangeRole, readonly role: EngineRole }
 
-/** What an engine says of itself when asked; how wanted and actual state are compared. */
+/** State that an engine reports on request; it is compared with the wanted state. */
 export interface EngineState {
   readonly name: string
   readonly incarnation: string
@@ -35,11 +36,11 @@
   readonly adapters: readonly string[]
   readonly role: EngineRole
   readonly leaving: boolean
-  /** Orders taken and not yet done, oldest first. */
+  /** Orders accepted and not yet done, oldest first. */
   readonly pendingOrders: readonly EngineOrder[]
   /** The last orders done, oldest first. */
   readonly doneOrders: readonly string[]
-  /** Highest fencing number seen; 0 for none. */
+  /** Highest fencing number received; 0 for none. */
   readonly highestFence: number
 }
 
@@ -48,16 +49,16 @@
   Evicted = 'evicted'
 }
 
-/** One change of an engine's prefix cache. Events come late and with gaps. */
+/** One change of an engine's prefix cache. Events arrive late and with gaps. */
 export interface CacheEvent {
   /** Rises by one within an incarnation; a missing number is a lost event. */
   readonly sequence: number
   readonly kind: CacheEventKind
-  /** Whose blocks; empty account and model for evictions, which may mix owners. */
+  /** Owner of the blocks; empty account and model for evictions, which may mix owners. */
   readonly identity: CacheIdentity
   /** Request whose prompt was stored; empty for evictions. */
   readonly requestId: string
-  /** Chained hashes of the blocks concerned. */
+  /** Chained hashes of the affected blocks. */
   readonly blocks: readonly string[]
   /** The engine's clock, milliseconds of Unix time. */
   readonly madeAt: number
@@ -66,18 +67,18 @@
 export interface CacheEventPage {
   readonly incarnation: string
   readonly events: readonly CacheEvent[]
-  /** The highest sequence published so far; it may have been lost. */
+  /** The highest sequence published so far; that event may have been lost. */
   readonly last: number
 }
 
-/** A prefix's cached blocks outside an engine, with whose work they are. */
+/** Cached blocks of a prefix that are stored outside an engine, with their owner. */
 export interface KeptCache {
   readonly identity: CacheIdentity
   readonly blocks: readonly string[]
   readonly tokens: number
 }
 
-/** Asks an engine to put a prefix's blocks into the kept-cache store. */
+/** Asks an engine to save the blocks of a prefix to the kept-cache store. */
 export interface CacheExport {
   readonly key: string
   readonly identity: CacheIdentity
@@ -85,9 +86,9 @@
   readonly prompt: string
 }
 
-/** Asks an engine to take blocks from the kept-cache store. */
+/** Asks an engine to load blocks from the kept-cache store. */
 export interface CacheImport {
   readonly key: string
-  /** What the entry must be; any difference is refused. */
+  /** Identity that the entry must have; any difference is refused. */
   readonly identity: CacheIdentity
 }
--- a/packages/foxtaillever-core/src/engineProtocol.ts
+++ b/packages/foxtaillever-core/src/engineProtocol.ts
@@ -1,23 +1,23 @@
 /**
  * The published protocol of a model engine, as this system uses it. The
- * stand-in engine speaks it; another wire format costs one adapter.
+ * stand-in engine implements it; another wire format needs one adapter.
  */
 import type { Either } from 'purify-ts'
 import type { Cancellation } from './clock.js'
 import type { Failure } from './verdict.js'
 
-/** Header names beyond the usual ones of the completions protocol. */
+/** Header names in addition to those of the completions protocol. */
 export enum EngineHeader {
   RequestId = 'x-request-id',
   /** Keeps cached blocks of client accounts apart. */
   Account = 'x-cache-account',
-  /** The engine refuses, not run, when its own differs. */
+  /** The engine refuses the request with verdict NotRun when its incarnation differs. */
   ExpectedIncarnation = 'x-expected-incarnation',
   ExpectedWeights = 'x-expected-weights',
   Priority = 'x-priority',
   /** Milliseconds of Unix time. */
   Deadline = 'x-deadline',
-  /** Tokens delivered so far by an earlier engine; the answer goes on after them. */
+  /** Tokens delivered so far by an earlier engine; the answer continues after them. */
   ContinueAfter = 'x-continue-after',
   /** Set for requests that run at most once. */
   IdempotencyKey = 'idempotency-key',
@@ -46,7 +46,7 @@
   Failed = 'failed'
 }
 
-/** First event of a stream, id 0. */
+/** First event of a stream; its id is 0. */
 export interface StreamStart {
   readonly streamId: string
   readonly incarnation: string
@@ -69,36 +69,36 @@
   readonly account: string
   readonly model: string
   readonly weightsVersion: string
-  /** Empty when any will do. */
+  /** Empty when any incarnation may run the request. */
   readonly expectedIncarnation: string
   readonly priority: string
   /** Milliseconds of Unix time. */
   readonly deadline: number
-  /** Chat or plain completion; decides path and chunk form. */
+  /** Chat or text completion; determines the path and the format of chunks. */
   readonly path: EnginePath.Completions | EnginePath.ChatCompletions
-  /** The caller's body, checked, with `stream` set. */
+  /** The caller's body, validated, with `stream` set. */
   readonly body: Readonly<Record<string, unknown>>
   /** Tokens already delivered by an earlier engine. */
   readonly continueAfter: number
-  /** Of a request that runs at most once; empty for the others. */
+  /** Set for a request that runs at most once; empty for others. */
   readonly idempotencyKey: string
 }
 
-/** Takes a stream up again at the engine that has it. */
+/** Resumes a stream at the engine that runs it. */
 export interface ResumeCall {
   readonly streamId: string
-  /** Tokens that need not be repeated. */
+  /** Number of tokens that need not be sent again. */
   readonly after: number
   readonly requestId: string
   readonly model: string
   readonly path: GenerateCall['path']
 }
 
-/** Receives what comes of one call; exactly one of finished and failed comes last. */
+/** Receives the events of one call; the last one is either finished or failed. */
 export interface GenerateListener {
   /**
-   * The first byte is about to leave; a loss before this word is proven NotRun.
-   * @returns false to hold the byte back; the call then fails as not run.
+   * Called before the first byte is sent; a failure before this call is proven NotRun.
+   * @returns false to send nothing; the call then fails with verdict NotRun.
    */
   sent: () => boolean
   started: (start: StreamStart) => void
@@ -109,11 +109,11 @@
 }
 
 export interface GenerateStream {
-  /** Tells the engine to stop; no further word comes to the listener. */
+  /** Asks the engine to stop; the listener gets no further calls. */
   cancel: Cancellation
-  /** Closes the connection and lets the engine go on; no further word comes to the listener. */
+  /** Closes the connection and lets the engine continue; the listener gets no further calls. */
   detach: () => void
-  /** Stops reading, so that the engine is pressed back. */
+  /** Stops reading, so that backpressure reaches the engine. */
   pause: () => void
   resume: () => void
 }
@@ -123,7 +123,7 @@
   readonly weightsVersion: string
   readonly running: number
   readonly waiting: number
-  /** Uncached prompt tokens that wait for prefill. */
+  /** Uncached prompt tokens waiting for prefill. */
   readonly waitingTokens: number
   readonly cacheTokensUsed: number
   readonly leaving: boolean
@@ -134,9 +134,9 @@
 /** The narrow interface to one backend server that runs models. */
 export interface Engine {
   generate: (call: GenerateCall, listener: GenerateListener) => GenerateStream
-  /** Goes on with a stream after the given sequence. */
+  /** Resumes a stream after the given sequence. */
   resume: (call: ResumeCall, listener: GenerateListener) => GenerateStream
-  /** Stops work by the id of its stream or request; tells nobody whether it worked. */
+  /** Cancels work by the id of its stream or request; success is not reported. */
   cancel: (id: string) => void
   load: () => Promise<Either<Failure, LoadReport>>
 }
--- a/packages/foxtaillever-core/src/hashNumber.ts
+++ b/packages/foxtaillever-core/src/hashNumber.ts
@@ -1,7 +1,8 @@
 /**
- * Short texts as 32-bit numbers, for rendezvous scores and for names in datagrams.
- * By MurmurHash3 in plain code: a hash by WebAssembly must be instantiated before
- * the first module that uses it, which every start of an instance waits for.
+ * Hashes short texts to 32-bit numbers, for rendezvous scores and for names in
+ * datagrams. MurmurHash3 in plain JavaScript: a WebAssembly hash must be
+ * instantiated before the first module that uses it, which delays every start of
+ * an instance.
  */
 import MurmurHash3 from 'imurmurhash'
 
--- a/packages/foxtaillever-core/src/hashPrompt.ts
+++ b/packages/foxtaillever-core/src/hashPrompt.ts
@@ -1,14 +1,15 @@
 /**
- * Prompts from their text: a prefix is hashed only where a level ends, because
- * placement never looks at single blocks. Apart from the package's index, since
- * the hash is WebAssembly, which must be instantiated before any module that uses it.
+ * Creates prompts from text. A prefix is hashed only where a level ends, because
+ * placement never uses single blocks. The package's index does not export this
+ * module: its hash is WebAssembly, which must be instantiated before any module
+ * that uses it.
  */
 import createHasher from 'xxhash-wasm'
-import { CHARACTERS_PER_TOKEN, estimateTokens, renderMessage, renderMessages, SHORTEST_LEVEL_TOKENS, type ChatMessage, type PrefixLevel, type Prompt } from './prompt.js'
+import { CHARACTERS_PER_TOKEN, estimateTokens, renderMessage, renderMessages, MIN_LEVEL_TOKENS, type ChatMessage, type PrefixLevel, type Prompt } from './prompt.js'
 
 const hasher = await createHasher()
 
-/** Ends of levels for a prompt whose caller names none, in tokens. */
+/** Ends of levels for a prompt whose caller gives none, in tokens. */
 const DEFAULT_LEVEL_ENDS_TOKENS = [256, 1024, 4096, 16_384, 65_536]
 
 /** 64-bit hash of a short text, 16 hexadecimal digits. */
@@ -18,7 +19,7 @@
 
 /**
  * Hashes a prompt once, level by level.
- * @param ends character offsets at which levels end, rising.
+ * @param ends character offsets at which levels end, ascending.
  */
 export function createPrompt (text: string, ends: readonly number[]): Prompt {
   const state = hasher.create64()
@@ -31,7 +32,7 @@
     state.update(text.slice(start, end))
     start = end
     const tokens = estimateTokens(end)
-    if (tokens >= SHORTEST_LEVEL_TOKENS || end === text.length) {
+    if (tokens >= MIN_LEVEL_TOKENS || end === text.length) {
       levels.push({ hash: state.digest().toString(16).padStart(16, '0'), tokens })
     }
   }
--- a/packages/foxtaillever-core/src/identity.ts
+++ b/packages/foxtaillever-core/src/identity.ts
@@ -1,7 +1,7 @@
 /**
- * Identity of cached work. Cached blocks may be relied on only where every part
- * matches: another client account, other weights or an engine that has since
- * restarted make them worthless or forbidden.
+ * Identity of cached blocks. They may be used only where every part matches:
+ * those of another client account are forbidden, those of other weights or of an
+ * earlier incarnation of the engine are useless.
  */
 export interface CacheIdentity {
   readonly account: string
@@ -12,10 +12,10 @@
   readonly incarnation: string
 }
 
-export function isSameCache (one: CacheIdentity, other: CacheIdentity): boolean {
-  return one.account === other.account &&
-    one.model === other.model &&
-    one.adapter === other.adapter &&
-    one.weightsVersion === other.weightsVersion &&
-    one.incarnation === other.incarnation
+export function isSameCache (a: CacheIdentity, b: CacheIdentity): boolean {
+  return a.account === b.account &&
+    a.model === b.model &&
+    a.adapter === b.adapter &&
+    a.weightsVersion === b.weightsVersion &&
+    a.incarnation === b.incarnation
 }
--- a/packages/foxtaillever-core/src/index.ts
+++ b/packages/foxtaillever-core/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the shared types. */
+/** Public API of the shared types. */
 export * from './callerProtocol.js'
 export * from './clock.js'
 export * from './configuration.js'
--- a/packages/foxtaillever-core/src/logProtocol.ts
+++ b/packages/foxtaillever-core/src/logProtocol.ts
@@ -1,7 +1,7 @@
 /**
  * The platform's append-only log, as this system uses it. Records are opaque to
- * the platform; offsets start at 1 and rise by one. Reading below the first
- * kept offset is answered with the first one.
+ * the platform; offsets start at 1 and rise by one. A read below the first
+ * retained offset starts at that offset.
  */
 import type { Either } from 'purify-ts'
 import type { Failure } from './verdict.js'
@@ -15,9 +15,9 @@
   Order = 'order'
 }
 
-/** A record as its writer makes it. */
+/** A record as its writer creates it. */
 export interface LogEntry {
-  /** Drawn by the writer, so that it finds its own record when an answer is lost. */
+  /** Drawn by the writer, so that it finds its own record when the answer to an append is lost. */
   readonly id: string
   readonly kind: RecordKind
   /** Writer's clock, milliseconds of Unix time; never used to order records. */
@@ -33,7 +33,7 @@
 
 export interface LogPage {
   readonly records: readonly LogRecord[]
-  /** The first offset still kept. */
+  /** The first retained offset. */
   readonly first: number
   /** The offset that the next append gets. */
   readonly next: number
@@ -41,9 +41,9 @@
   readonly now: number
 }
 
-/** The narrow interface to the log; the left side of an append may be MayHaveRun. */
+/** The narrow interface to the log; a failed append may have verdict MayHaveRun. */
 export interface Log {
   append: (entry: LogEntry) => Promise<Either<Failure, number>>
-  /** Records from the offset on; waits for new ones until the deadline. */
+  /** Reads records from the offset on; waits for new ones until the deadline. */
   read: (from: number, deadline: number) => Promise<Either<Failure, LogPage>>
 }
--- a/packages/foxtaillever-core/src/platformProtocol.ts
+++ b/packages/foxtaillever-core/src/platformProtocol.ts
@@ -1,6 +1,5 @@
 /**
- * The platform's lagging list of instances and its stores, as this system uses
- * them.
+ * The platform's list of instances, as this system uses it.
  */
 import type { Either } from 'purify-ts'
 import type { Failure } from './verdict.js'
@@ -18,13 +17,13 @@
 export interface ListedInstance {
   readonly name: string
   readonly kind: ListedKind
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string
   readonly failureDomain: string
   readonly state: ListedState
 }
 
-/** The list of live and leaving instances; what it says is seconds old. */
+/** The list of live and leaving instances; it lags by seconds. */
 export interface InstanceList {
   list: () => Promise<Either<Failure, readonly ListedInstance[]>>
 }
--- a/packages/foxtaillever-core/src/prompt.ts
+++ b/packages/foxtaillever-core/src/prompt.ts
@@ -1,13 +1,13 @@
 /**
  * Prompts and their levels. A prompt is nested: catalogue, client account's
- * instructions, question. Only the ends of levels are shared between requests.
+ * instructions, question. Requests share only prefixes that end with a level.
  */
 
-/** Rough size of a token in characters; engines report the true count. */
+/** Estimated size of a token in characters; engines report the exact count. */
 export const CHARACTERS_PER_TOKEN = 4
 
-/** Prefixes shorter than this are not worth a placement of their own, tokens. */
-export const SHORTEST_LEVEL_TOKENS = 16
+/** Prefixes shorter than this are not placed on their own, tokens: they save too little. */
+export const MIN_LEVEL_TOKENS = 16
 
 /** The end of one level: everything from the start of the prompt to here. */
 export interface PrefixLevel {
@@ -34,12 +34,12 @@
   return Math.ceil(characters / CHARACTERS_PER_TOKEN)
 }
 
-/** The text an engine sees for a conversation; one message is one level. */
+/** The text that an engine receives for a conversation; one message is one level. */
 export function renderMessages (messages: readonly ChatMessage[]): string {
   return messages.map(renderMessage).join('')
 }
 
-/** The same of one message. */
+/** The text of one message. */
 export function renderMessage (message: ChatMessage): string {
   return `<${message.role}>${message.content}\n`
 }
--- a/packages/foxtaillever-core/src/random.ts
+++ b/packages/foxtaillever-core/src/random.ts
@@ -1,6 +1,6 @@
 /**
- * Randomness as the rest of the system sees it: one seeded source a process,
- * passed in, so that every decision can be replayed.
+ * Source of randomness: one seeded generator per process, passed in, so that
+ * every decision can be replayed.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import type { JumpableRandomGenerator } from 'pure-rand/types/JumpableRandomGenerator'
@@ -16,8 +16,8 @@
 
 /**
  * The generator's first numbers hardly depend on a small seed: the very first
- * one is close to 1 for all of them. Left in, instances seeded one apart would
- * choose the same backend server at the same time.
+ * one is close to 1 for all of them. Without skipping them, instances with
+ * consecutive seeds would select the same backend server at the same time.
  */
 const SKIPPED_DRAWS = 64
 
@@ -41,7 +41,7 @@
   }
 }
 
-/** Exponentially distributed, for open-loop arrivals; the mean is in the caller's unit. */
+/** An exponentially distributed number, for open-loop arrivals; it has the unit of the mean. */
 export function exponential (random: Random, mean: number): number {
   return -Math.log(1 - random.next()) * mean
 }
--- a/packages/foxtaillever-core/src/verdict.ts
+++ b/packages/foxtaillever-core/src/verdict.ts
@@ -1,14 +1,13 @@
 /**
  * Verdicts and failures. Every failure in the system says whether the request
- * it concerns may have run, because only that decides whether it may be sent
- * again.
+ * it concerns may have run, because only that decides whether it may be retried.
  */
 
 /** Whether a request may have run. */
 export enum Verdict {
-  /** Proven: no byte left, or the backend server said so in its protocol. */
+  /** Proven: no byte was sent, or the backend server said so in its protocol. */
   NotRun = 'not_run',
-  /** Bytes left and no proof came back. */
+  /** Bytes were sent, and nothing proves that the request did not run. */
   MayHaveRun = 'may_have_run',
   /** The backend server has run it, at least in part. */
   Ran = 'ran'
@@ -52,7 +51,7 @@
     readonly code: FailureCode,
     readonly verdict: Verdict,
     readonly message: string,
-    /** When a new try makes sense, milliseconds of Unix time, if known. */
+    /** When a new attempt makes sense, milliseconds of Unix time, if known. */
     readonly retryAt?: number
   ) {}
 
@@ -60,20 +59,20 @@
     return new Failure(code, verdict, message, retryAt)
   }
 
-  /** A failure before any byte of the request left this process. */
+  /** A failure before this process sent any byte of the request. */
   static notRun (code: FailureCode, message: string, retryAt?: number): Failure {
     return new Failure(code, Verdict.NotRun, message, retryAt)
   }
 
-  /** The same failure when later knowledge changes the verdict. */
+  /** The same failure with another verdict, when more is known. */
   withVerdict (verdict: Verdict): Failure {
     return new Failure(this.code, verdict, this.message, this.retryAt)
   }
 }
 
 /**
- * Whether a request with this verdict may be sent again. A request that may
- * have run is sent again only when running it twice does no harm.
+ * Whether a request with this verdict may be retried. A request that may
+ * have run is retried only when running it twice does no harm.
  */
 export function isRepeatable (verdict: Verdict, idempotent: boolean): boolean {
   return verdict === Verdict.NotRun || idempotent
