--- a/packages/foxtaillever-telemetry/src/__tests__/lineOutput.test.ts
+++ b/packages/foxtaillever-telemetry/src/__tests__/lineOutput.test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('lines to standard output', () => {
-  it('are gathered and written by one call at a time', async t => {
+  it('are batched and written by one call at a time', async t => {
     const { clock, write, written, open } = createBench()
     write(INFO, 'a\n')
     write(INFO, 'b\n')
@@ -35,9 +35,9 @@
     t.deepEqual(written, ['a\nb\n', '\nb\nc\n'])
   })
 
-  // Whoever reads the logs stands still while every request fails. The process neither waits nor
-  // grows; the lines that tell of failures are still there when the reader goes on.
-  it('are dropped and counted when the reader stands still, failures last', async t => {
+  // The reader of the logs is paused while every request fails. The process neither waits nor
+  // grows; lines about failures are still there when the reader resumes.
+  it('are dropped and counted while the reader is paused, failures last', async t => {
     const { clock, output, write, written, open } = createBench()
     const line = `${'x'.repeat(999)}\n`
     for (let index = 0; index < 700; index += 1) {
@@ -45,19 +45,19 @@
     }
     write(WARN, 'a failure\n')
     await clock.advanceBy(100)
-    t.is(output.takeDropped(), 200)
+    t.is(output.takeDroppedCount(), 200)
     t.true(written[0]?.endsWith('a failure\n'))
     open.shift()?.(0)
     for (let index = 0; index < 2000; index += 1) {
       write(WARN, line)
     }
-    t.is(output.takeDropped(), 1501)
+    t.is(output.takeDroppedCount(), 1501)
   })
 })
 
 describe('logs of failed requests', () => {
-  // Under overload ten lines of each sentence hide whose requests failed.
-  it('are not left out by sentence, and bounded in all', async t => {
+  // Under overload, ten lines per sentence would hide which requests failed.
+  it('are not limited by sentence, but in total', async t => {
     const lines: Array<{ request?: string, leftOut?: number }> = []
     const clock = VirtualClock.create()
     const logs = Logs.create({ instance: 'i', level: 'info', clock, destination: { write: text => { lines.push(JSON.parse(text) as object) } } })
@@ -74,7 +74,7 @@
 })
 
 describe('metrics', () => {
-  it('are told as text, and labels cannot fill the memory', t => {
+  it('are rendered as text, and labels cannot fill the memory', t => {
     const metrics = Metrics.create('x_')
     metrics.gauge('open', () => 3)
     for (let index = 0; index < 1000; index += 1) {
--- a/packages/foxtaillever-telemetry/src/__tests__/logs.test.ts
+++ b/packages/foxtaillever-telemetry/src/__tests__/logs.test.ts
@@ -15,27 +15,27 @@
 }
 
 describe('logs', () => {
-  it('begin with the part and name the request and the account', t => {
+  it('start with the part and name the request and the account', t => {
     const { lines, logs } = createBench('info')
     logs.write('warn', Part.Requests, 'A request failed.', { request: 'r1', account: 'vale' })
     t.like(lines[0], { msg: 'requests: A request failed.', request: 'r1', account: 'vale', instance: 'entry-1' })
   })
 
-  it('leave out what is below their level', t => {
+  it('omit lines below their level', t => {
     const { lines, logs } = createBench('warn')
     logs.write('info', Part.Requests, 'A request is refused.')
     t.is(lines.length, 0)
   })
 
-  // A backend server dies under full load: thousands of requests fail within a
-  // second. A line for each would bury the first cause and cost time that the
-  // remaining requests need; the operator still has to see how many there were.
-  it('count instead of writing when one sentence comes too often', async t => {
+  // A backend server crashes under full load and thousands of requests fail within
+  // a second. A line for each would bury the first cause and cost time that the
+  // remaining requests need; the operator must still see the count.
+  it('are counted instead of written when one sentence is too frequent', async t => {
     const { lines, clock, logs } = createBench('info')
     for (let index = 0; index < 5000; index++) {
       logs.write('warn', Part.Requests, 'A request failed.', { request: `r${index}` })
     }
-    logs.write('warn', Part.Servers, 'A try failed and is made again.')
+    logs.write('warn', Part.Servers, 'An attempt failed and is retried.')
     t.is(lines.length, 11)
     t.is(logs.leftOut(), 4990)
     await clock.advanceBy(1000)
--- a/packages/foxtaillever-telemetry/src/index.ts
+++ b/packages/foxtaillever-telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the logs. */
+/** Public API of logs and metrics. */
 export * from './logs.js'
 export * from './lineOutput.js'
 export * from './metrics.js'
--- a/packages/foxtaillever-telemetry/src/logs.ts
+++ b/packages/foxtaillever-telemetry/src/logs.ts
@@ -1,15 +1,16 @@
 /**
- * Log lines by pino: a fixed prefix for each part, short sentences, and the
- * request and account on each line that has one. Under overload the same thing
- * goes wrong thousands of times a second; writing each time would slow down
- * what is left of the service and bury the first cause. So each sentence is
- * written a few times a second, then counted, and the count is told.
+ * Log lines by pino: a fixed prefix for each part of the process, a short
+ * sentence, and the request and account where there is one. Under overload the
+ * same error occurs thousands of times a second; a line for each would slow down
+ * the requests that still work and bury the first cause. So each sentence is
+ * written a few times a second; further lines are only counted, and a last line
+ * reports the count.
  */
 import pino, { type DestinationStream, type Level, type Logger } from 'pino'
 import type { Clock } from 'foxtaillever-core'
 import { LineOutput } from './lineOutput.js'
 
-/** Parts of the process, as lines begin. */
+/** Parts of the process; each log line starts with the name of its part. */
 export enum Part {
   Callers = 'callers',
   Control = 'control',
@@ -19,7 +20,7 @@
   Servers = 'servers'
 }
 
-/** What a line is about; the names are those of the fields. */
+/** What a line is about; each property is a field of the log line. */
 export interface Subject {
   readonly request?: string
   readonly account?: string
@@ -37,28 +38,29 @@
   readonly instance: string
   readonly level: string
   readonly clock: Clock
-  /** Where lines go; standard output unless a test says otherwise. */
+  /** Where lines are written; standard output unless a test sets another. */
   readonly destination?: DestinationStream
 }
 
-/** Lines of one sentence in one window; a person reads no more. */
+/** Most lines with one sentence in a window; a person reads no more. */
 const LINES_PER_WINDOW = 10
 
 /**
- * Lines about single failed requests in one window, over all sentences: whoever
- * looks for one id must find it, and 200 lines cost some milliseconds.
+ * Most lines about single failed requests in a window, over all sentences. An
+ * operator who searches for a request id must find it; 200 lines cost a few
+ * milliseconds.
  */
 const FAILURES_PER_WINDOW = 200
 
 /** Length of a window, milliseconds. */
 const WINDOW_MS = 1000
 
-interface Sentence {
+interface SentenceCounts {
   written: number
   leftOut: number
 }
 
-/** Outputs of this process; one listener serves them all. */
+/** Outputs of this process; one exit listener flushes them all. */
 const outputs = new Set<LineOutput>()
 
 function flushAtExit (output: LineOutput): void {
@@ -69,10 +71,10 @@
 }
 
 export class Logs {
-  private readonly sentences = new Map<string, Sentence>()
-  private windowOpen = false
-  private leftOutInAll = 0
-  private failures = 0
+  private readonly sentences = new Map<string, SentenceCounts>()
+  private isWindowOpen = false
+  private totalLeftOut = 0
+  private failureLines = 0
 
   private constructor (private readonly logger: Logger, private readonly clock: Clock, private readonly output: LineOutput | undefined) {}
 
@@ -88,12 +90,12 @@
 
   /** Lines left out since the start. */
   leftOut (): number {
-    return this.leftOutInAll
+    return this.totalLeftOut
   }
 
   /**
-   * Writes a line, or counts it.
-   * @param sentence the same text each time: what varies stands in the subject.
+   * Writes a line, or only counts it.
+   * @param sentence a fixed text; everything that varies belongs in the subject.
    */
   write (level: Level, part: Part, sentence: string, subject: Subject = {}): void {
     if (!this.logger.isLevelEnabled(level)) {
@@ -105,14 +107,14 @@
     }
   }
 
-  /** Writes a line about a request that failed: not limited by sentence, only in all. */
+  /** Writes a line about a failed request; limited over all sentences instead of by sentence. */
   writeFailure (part: Part, sentence: string, subject: Subject): void {
     this.openWindow()
-    if (this.failures >= FAILURES_PER_WINDOW) {
+    if (this.failureLines >= FAILURES_PER_WINDOW) {
       this.write('warn', part, sentence, subject)
       return
     }
-    this.failures += 1
+    this.failureLines += 1
     this.logger.warn(subject, `${part}: ${sentence}`)
   }
 
@@ -125,33 +127,33 @@
       return true
     }
     sentence.leftOut += 1
-    this.leftOutInAll += 1
+    this.totalLeftOut += 1
     return false
   }
 
   private openWindow (): void {
-    if (!this.windowOpen) {
-      this.windowOpen = true
+    if (!this.isWindowOpen) {
+      this.isWindowOpen = true
       this.clock.at(this.clock.now() + WINDOW_MS, () => this.closeWindow())
     }
   }
 
   private closeWindow (): void {
-    this.windowOpen = false
+    this.isWindowOpen = false
     for (const [text, { leftOut }] of this.sentences) {
       if (leftOut > 0) {
         this.logger.warn({ leftOut }, `${text} (further lines left out)`)
       }
     }
     this.sentences.clear()
-    this.failures = 0
-    const dropped = this.output?.takeDropped() ?? 0
+    this.failureLines = 0
+    const dropped = this.output?.takeDroppedCount() ?? 0
     if (dropped > 0) {
-      this.logger.warn({ dropped }, `${Part.Process}: Lines were dropped, since standard output took them too slowly.`)
+      this.logger.warn({ dropped }, `${Part.Process}: Dropped log lines, since standard output is too slow.`)
     }
   }
 
-  /** Writes what is counted, before the process ends. */
+  /** Writes counts and waiting lines, before the process exits. */
   flush (): void {
     this.closeWindow()
     this.output?.flush()
--- a/packages/foxtaillever-telemetry/src/metrics.ts
+++ b/packages/foxtaillever-telemetry/src/metrics.ts
@@ -1,16 +1,16 @@
 /**
  * Counters, gauges and latency histograms as text for a metrics collector.
  *
- * Written here since prom-client, bundled without its default collectors, takes
- * 3.8 MB more of resident memory (45.3 to 49.1, three runs each) and 50 ms of
- * processor time at the start, for what is some sums and a text.
+ * prom-client is not used: bundled without its default collectors, it takes
+ * 3.8 MB more of resident memory (49.1 instead of 45.3, three runs each) and
+ * 50 ms of processor time at the start, for a few sums and their text.
  */
 
-/** Upper bounds of the histograms' buckets, milliseconds: from an answer out of memory to the longest deadlines. */
+/** Upper bounds of the histogram buckets, milliseconds: from an answer out of memory to the longest deadlines. */
 const BUCKETS_MS = [5, 10, 20, 50, 100, 200, 400, 800, 1600, 3200, 6400, 12_800]
 
-/** Series of one metric; further ones are counted together, so that labels cannot fill the memory. */
-const MOST_SERIES = 64
+/** Most series of one metric; further ones are counted together, so that labels cannot fill the memory. */
+const MAX_SERIES_PER_METRIC = 64
 
 export type Labels = Readonly<Record<string, string>>
 
@@ -37,15 +37,15 @@
   }
 
   count (name: string, labels: Labels = {}): void {
-    const series = this.seriesOf(this.counters, name)
-    const key = this.keyOf(series, labels)
+    const series = this.getSeries(this.counters, name)
+    const key = this.getSeriesKey(series, labels)
     series.set(key, (series.get(key) ?? 0) + 1)
   }
 
-  /** @param milliseconds how long something took. */
+  /** Adds a duration to a histogram. */
   observe (name: string, labels: Labels, milliseconds: number): void {
-    const series = this.seriesOf(this.histograms, name)
-    const key = this.keyOf(series, labels)
+    const series = this.getSeries(this.histograms, name)
+    const key = this.getSeriesKey(series, labels)
     const histogram = series.get(key) ?? { counts: BUCKETS_MS.map(() => 0), sum: 0, count: 0 }
     series.set(key, histogram)
     histogram.sum += milliseconds
@@ -56,7 +56,7 @@
     }
   }
 
-  /** A figure that is read when somebody asks. */
+  /** Registers a gauge, which is read on each rendering. */
   gauge (name: string, read: () => number): void {
     this.gauges.set(name, read)
   }
@@ -65,15 +65,15 @@
     return [...this.renderGauges(), ...this.renderCounters(), ...this.renderHistograms(), ''].join('\n')
   }
 
-  private seriesOf<Value> (metrics: Map<string, Map<string, Value>>, name: string): Map<string, Value> {
+  private getSeries<Value> (metrics: Map<string, Map<string, Value>>, name: string): Map<string, Value> {
     const series = metrics.get(name) ?? new Map<string, Value>()
     metrics.set(name, series)
     return series
   }
 
-  private keyOf (series: ReadonlyMap<string, unknown>, labels: Labels): string {
+  private getSeriesKey (series: ReadonlyMap<string, unknown>, labels: Labels): string {
     const key = formatLabels(labels)
-    return series.has(key) || series.size < MOST_SERIES ? key : formatLabels({ series: 'others' })
+    return series.has(key) || series.size < MAX_SERIES_PER_METRIC ? key : formatLabels({ series: 'others' })
   }
 
   private renderGauges (): string[] {
@@ -97,10 +97,10 @@
   private renderHistogram (name: string, labels: string, { counts, sum, count }: Histogram): string[] {
     const inner = labels.slice(1, -1)
     const withBound = (bound: string): string => `{${inner}${inner === '' ? '' : ','}le="${bound}"}`
-    let below = 0
+    let cumulative = 0
     const buckets = BUCKETS_MS.map((bound, index) => {
-      below += counts[index] ?? 0
-      return `${name}_bucket${withBound(String(bound))} ${below}`
+      cumulative += counts[index] ?? 0
+      return `${name}_bucket${withBound(String(bound))} ${cumulative}`
     })
     return [...buckets, `${name}_bucket${withBound('+Inf')} ${count}`, `${name}_sum${labels} ${Math.round(sum)}`, `${name}_count${labels} ${count}`]
   }
--- a/packages/foxtaillever-telemetry/src/report/htmlPage.ts
+++ b/packages/foxtaillever-telemetry/src/report/htmlPage.ts
@@ -1,4 +1,4 @@
-/** One self-contained HTML file: headings, tables, plots side by side. */
+/** Renders one self-contained HTML file: headings, tables, plots side by side. */
 import { escapeText } from './svgPlot.js'
 
 const STYLE = `body{font:15px/1.5 system-ui,sans-serif;max-width:1360px;margin:2em auto;padding:0 1em;color:#222}
@@ -18,7 +18,7 @@
   return `<div class="plots">${plots.join('')}</div>`
 }
 
-/** @param parts HTML, escaped already. */
+/** @param parts HTML, already escaped. */
 export function drawPage (title: string, parts: readonly string[]): string {
   return `<!doctype html><html lang="en"><meta charset="utf-8"><title>${escapeText(title)}</title><style>${STYLE}</style><h1>${escapeText(title)}</h1>${parts.join('\n')}</html>\n`
 }
--- a/packages/foxtaillever-telemetry/src/report/svgPlot.ts
+++ b/packages/foxtaillever-telemetry/src/report/svgPlot.ts
@@ -1,4 +1,4 @@
-/** Line plots as inline SVG, written by hand: axes, gridlines, one line a series, marks for faults. */
+/** Draws line plots as inline SVG without a library: axes, gridlines, one line per series, marks for faults. */
 
 export interface PlotPoint {
   readonly x: number
@@ -21,7 +21,7 @@
   readonly yLabel: string
   readonly series: readonly PlotSeries[]
   readonly marks?: readonly PlotMark[]
-  /** Text of the tick at x, where it is not the number itself. */
+  /** Labels of the ticks on the x axis; evenly spaced numbers when not given. */
   readonly xTicks?: readonly PlotMark[]
 }
 
@@ -34,7 +34,7 @@
 const Y_TICKS = 5
 const X_TICKS = 10
 
-/** Colours that stay apart for the colour-blind. */
+/** Colours that colour-blind readers can tell apart. */
 const COLOURS = ['#0072b2', '#d55e00', '#009e73', '#cc79a7', '#e69f00', '#56b4e9', '#000000']
 
 export function escapeText (text: string): string {
@@ -44,11 +44,11 @@
 interface Scale {
   readonly x: (value: number) => number
   readonly y: (value: number) => number
-  readonly xMost: number
-  readonly yMost: number
+  readonly xMax: number
+  readonly yMax: number
 }
 
-/** The next of 1, 2, 5 times a power of ten, so that ticks are round. */
+/** Rounds up to 1, 2 or 5 times a power of ten, so that ticks are round numbers. */
 function roundUp (value: number): number {
   const power = 10 ** Math.floor(Math.log10(value))
   const step = [1, 2, 5, 10].find(candidate => candidate * power >= value) ?? 10
@@ -57,13 +57,13 @@
 
 function createScale (plot: Plot): Scale {
   const points = plot.series.flatMap(series => series.points)
-  const xMost = Math.max(1, ...points.map(point => point.x))
-  const yMost = roundUp(Math.max(1e-9, ...points.map(point => point.y)))
+  const xMax = Math.max(1, ...points.map(point => point.x))
+  const yMax = roundUp(Math.max(1e-9, ...points.map(point => point.y)))
   return {
-    xMost,
-    yMost,
-    x: value => LEFT + value / xMost * (WIDTH - LEFT - RIGHT),
-    y: value => HEIGHT - BOTTOM - value / yMost * (HEIGHT - TOP - BOTTOM)
+    xMax,
+    yMax,
+    x: value => LEFT + value / xMax * (WIDTH - LEFT - RIGHT),
+    y: value => HEIGHT - BOTTOM - value / yMax * (HEIGHT - TOP - BOTTOM)
   }
 }
 
@@ -73,7 +73,7 @@
 
 function drawGrid (scale: Scale): string {
   return Array.from({ length: Y_TICKS + 1 }, (_, index) => {
-    const value = scale.yMost * index / Y_TICKS
+    const value = scale.yMax * index / Y_TICKS
     const y = scale.y(value)
     return `<line x1="${LEFT}" x2="${WIDTH - RIGHT}" y1="${y}" y2="${y}" stroke="#ddd"/>${drawText(LEFT - 6, y + 4, 'end', String(Number(value.toPrecision(3))))}`
   }).join('')
@@ -81,7 +81,7 @@
 
 function drawXTicks (plot: Plot, scale: Scale): string {
   const even = Array.from({ length: X_TICKS + 1 }, (_, index) => {
-    const x = scale.xMost * index / X_TICKS
+    const x = scale.xMax * index / X_TICKS
     return { x, label: String(Number(x.toPrecision(3))) }
   })
   return (plot.xTicks ?? even).map(tick => drawText(scale.x(tick.x), HEIGHT - BOTTOM + 16, 'middle', tick.label)).join('')
