--- a/packages/foxtaillever-control/src/__fixtures__/fakeControl.ts
+++ b/packages/foxtaillever-control/src/__fixtures__/fakeControl.ts
@@ -1,6 +1,6 @@
 /**
- * A control over a configuration in memory, for tests of what stands on either
- * side of the protocol. Publications are folded as the log's records are.
+ * A control with its configuration in memory, for tests of both sides of the
+ * protocol. Publications are folded like records of the log.
  */
 import type { AddressInfo } from 'node:net'
 import { createHash } from 'node:crypto'
@@ -15,13 +15,13 @@
 import { Operators } from '../server/operators.js'
 
 export class FakeControl implements Control {
-  folded: Configuration = emptyConfiguration
+  currentConfiguration: Configuration = emptyConfiguration
   history: AcceptedRevision[] = []
   memberViews: readonly MemberView[] = []
   explanations = new Map<string, Explanation>()
   accountFigures = new Map<string, Figures>()
-  given: OrderProgress[] = []
-  lagging: readonly string[] = []
+  givenOrders: OrderProgress[] = []
+  laggingInstances: readonly string[] = []
 
   private constructor (readonly name: string) {}
 
@@ -30,28 +30,28 @@
   }
 
   configuration (): Either<Failure, ConfigurationView> {
-    return Right({ configuration: this.folded, offset: this.folded.revision, digest: digestOf(this.folded), history: this.history })
+    return Right({ configuration: this.currentConfiguration, offset: this.currentConfiguration.revision, digest: digestOf(this.currentConfiguration), history: this.history })
   }
 
   async publish ({ base, author, changes }: PublicationOrder): Promise<Either<Failure, Publication>> {
-    const offset = this.folded.revision + 1
-    const step = foldConfiguration(this.folded, { id: String(offset), kind: RecordKind.Configuration, writtenAt: 0, appendedAt: 0, offset, body: { base, author, changes } })
+    const offset = this.currentConfiguration.revision + 1
+    const step = foldConfiguration(this.currentConfiguration, { id: String(offset), kind: RecordKind.Configuration, writtenAt: 0, appendedAt: 0, offset, body: { base, author, changes } })
     const accepted = step.outcome === FoldOutcome.Accepted
-    this.folded = step.configuration
+    this.currentConfiguration = step.configuration
     if (accepted) {
       this.history.push({ revision: offset, author, id: String(offset) })
     }
     return Right({
       outcome: accepted ? PublicationOutcome.Accepted : PublicationOutcome.Refused,
       id: String(offset),
-      revision: this.folded.revision,
+      revision: this.currentConfiguration.revision,
       author: this.history.at(-1)?.author ?? '',
       message: accepted ? `Revision ${offset} is accepted.` : 'Another change was first.'
     })
   }
 
   async waitInForce (revision: number): Promise<InForce> {
-    return { revision, live: this.memberViews.length, inForce: this.memberViews.length - this.lagging.length, missing: this.lagging }
+    return { revision, live: this.memberViews.length, inForce: this.memberViews.length - this.laggingInstances.length, missing: this.laggingInstances }
   }
 
   members (): readonly MemberView[] {
@@ -59,12 +59,12 @@
   }
 
   servers (): readonly ServerView[] {
-    return Object.values(this.folded.servers).map(({ name, kind, failureDomain, address, state, slots }) =>
+    return Object.values(this.currentConfiguration.servers).map(({ name, kind, failureDomain, address, state, slots }) =>
       ({ name, kind, failureDomain, address, state, slots, ready: true, reason: '', running: 0, incarnation: '', share: 1 }))
   }
 
   accounts (): readonly AccountView[] {
-    return Object.values(this.folded.accounts).map(({ name, priority, weight, tokensPerSecond, concurrentRequests }) =>
+    return Object.values(this.currentConfiguration.accounts).map(({ name, priority, weight, tokensPerSecond, concurrentRequests }) =>
       ({ name, priority, weight, waiting: 0, running: 0, tokensPerSecondLimit: tokensPerSecond, concurrentRequestsLimit: concurrentRequests }))
   }
 
@@ -73,17 +73,17 @@
   }
 
   async giveOrder (order: ServerOrder): Promise<Either<Failure, OrderProgress>> {
-    const progress = { id: String(this.given.length + 1), order, state: OrderState.Waiting, changedAt: 0, message: 'Waits for the lease.' }
-    this.given.push(progress)
+    const progress = { id: String(this.givenOrders.length + 1), order, state: OrderState.Waiting, changedAt: 0, message: 'Waits for the lease.' }
+    this.givenOrders.push(progress)
     return Right(progress)
   }
 
   orders (): readonly OrderProgress[] {
-    return this.given
+    return this.givenOrders
   }
 
   dump (): Dump {
-    return { name: this.name, failureDomain: 'recife', takenAt: 0, parts: { configuration: { revision: this.folded.revision } }, leftOut: {} }
+    return { name: this.name, failureDomain: 'recife', takenAt: 0, parts: { configuration: { revision: this.currentConfiguration.revision } }, leftOut: {} }
   }
 
   explain (requestId: string): Either<Failure, Explanation> {
@@ -97,7 +97,7 @@
   readonly close: () => void
 }
 
-/** Serves on a port of the system's choice to operators by name and token. */
+/** Serves a control on a free port. @param tokens of operators, by name. */
 export async function serveControl (control: Control, tokens: Readonly<Record<string, string>>): Promise<ServedControl> {
   const operators = Object.entries(tokens).map(([name, token]) => ({ name, tokenDigests: [createHash('sha256').update(token).digest('hex')] }))
   const server = createControlServer(control, SystemClock.create(), Operators.create(operators))
@@ -105,7 +105,7 @@
   const { port } = server.address() as AddressInfo
   const address = `127.0.0.1:${port}`
   if (control instanceof FakeControl) {
-    control.memberViews = [...control.memberViews, { name: control.name, failureDomain: 'recife', state: MemberCondition.Live, controlAddress: address, revision: control.folded.revision, heardAt: 0 }]
+    control.memberViews = [...control.memberViews, { name: control.name, failureDomain: 'recife', state: MemberCondition.Live, controlAddress: address, revision: control.currentConfiguration.revision, heardAt: 0 }]
   }
   return { address, close: () => { server.close(); server.closeAllConnections() } }
 }
--- a/packages/foxtaillever-control/src/__tests__/control.test.ts
+++ b/packages/foxtaillever-control/src/__tests__/control.test.ts
@@ -3,7 +3,7 @@
 import { ChangeKind, PublicationOutcome } from 'foxtaillever-fleet'
 import { describe, it } from 'foxtaillever-testing'
 import { FakeControl, serveControl } from '../__fixtures__/fakeControl.js'
-import { compareConfigurations, ControlClient, describeChanges, doesMoveTraffic, Operators } from '../index.js'
+import { compareConfigurations, ControlClient, describeChanges, mayMoveTraffic, Operators } from '../index.js'
 
 const token = 'token-of-rui'
 const switchToPeaks = [{ kind: ChangeKind.SwitchPreset as const, name: PresetName.Peaks }]
@@ -30,9 +30,9 @@
       })
     })
 
-    // Two operators start from the same revision. The second one must not undo
-    // what the first one did, and must be told who was first.
-    it('is refused on an old revision, with the one in force and its author', async t => {
+    // Two operators start from the same revision. The second publication must not
+    // undo the first, and its operator must learn who published first.
+    it('is refused on an old revision, with the revision in force and its author', async t => {
       await withControl(async client => {
         await client.publish(0, switchToPeaks, 1000)
         const answer = (await client.publish(0, switchToPeaks, 1000)).unsafeCoerce()
@@ -41,18 +41,18 @@
       })
     })
 
-    it('of what is no change is refused before anything runs', async t => {
+    it('of an invalid change is refused before anything runs', async t => {
       await withControl(async (client, control) => {
         const bad = [{ kind: ChangeKind.SwitchPreset as const, name: 'holidays' as PresetName }]
         const failure = (await client.publish(0, bad, 1000)).swap().unsafeCoerce()
         t.is(failure.verdict, Verdict.NotRun)
-        t.is(control.folded.revision, 0)
+        t.is(control.currentConfiguration.revision, 0)
       })
     })
 
-    // The connection dies after the request was sent. The operator must not be
-    // told "not run": the record may stand in the log.
-    it('whose answer is lost may have run', async t => {
+    // The connection is lost after the request was sent. The verdict must not be
+    // "not run": the record may be in the log.
+    it('may have run when its answer is lost', async t => {
       const server = createServer(socket => socket.once('data', () => socket.destroy()))
       await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
       const { port } = server.address() as AddressInfo
@@ -61,7 +61,7 @@
       t.is(failure.verdict, Verdict.MayHaveRun)
     })
 
-    it('to a port where nothing listens did not run', async t => {
+    it('did not run when nothing listens on the port', async t => {
       const server = createServer()
       await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
       const { port } = server.address() as AddressInfo
@@ -72,11 +72,11 @@
   })
 
   describe('tokens', () => {
-    it('that are unknown open nothing', async t => {
+    it('that are unknown are refused', async t => {
       await withControl(async (_, control, address) => {
         const failure = (await ControlClient.create(address, 'wrong').publish(0, switchToPeaks, 1000)).swap().unsafeCoerce()
         t.deepEqual([failure.code, failure.verdict], [FailureCode.Unauthenticated, Verdict.NotRun])
-        t.is(control.folded.revision, 0)
+        t.is(control.currentConfiguration.revision, 0)
       })
     })
 
@@ -98,16 +98,16 @@
       t.deepEqual(compareConfigurations(other, structuredClone(other)), [])
     })
 
-    it('names what differs, one line a part', t => {
+    it('lists differences, one line per part', t => {
       const heavier = { ...other, accounts: { vale: { ...account, weight: 3 } } }
       t.deepEqual(describeChanges(emptyConfiguration, compareConfigurations(emptyConfiguration, other)), ['+ account vale', '! preset in force ordinary-days -> peaks'])
       t.deepEqual(describeChanges(other, compareConfigurations(other, heavier)), ['~ account vale: weight 2 -> 3'])
       t.deepEqual(describeChanges(other, compareConfigurations(other, emptyConfiguration)), ['- account vale', '! preset in force peaks -> ordinary-days'])
     })
 
-    it('knows what moves traffic', t => {
-      t.true(doesMoveTraffic(switchToPeaks))
-      t.false(doesMoveTraffic([{ kind: ChangeKind.PutAccount, account }]))
+    it('finds changes that may move traffic', t => {
+      t.true(mayMoveTraffic(switchToPeaks))
+      t.false(mayMoveTraffic([{ kind: ChangeKind.PutAccount, account }]))
     })
   })
 })
--- a/packages/foxtaillever-control/src/configuration/describeChanges.ts
+++ b/packages/foxtaillever-control/src/configuration/describeChanges.ts
@@ -1,5 +1,5 @@
 /**
- * Changes as lines that a person reads before publishing them.
+ * Describes changes in lines that an operator reads before publishing them.
  */
 import { isDeepStrictEqual } from 'node:util'
 import type { Configuration } from 'foxtaillever-core'
@@ -11,7 +11,7 @@
   return value === undefined ? 'nothing' : JSON.stringify(value)
 }
 
-/** One line a part that differs; a new entry is one line. */
+/** One line per property that differs; a new entry is one line. */
 function describePut (what: string, name: string, before: object | undefined, after: object): readonly string[] {
   if (!before) {
     return [`+ ${what} ${name}`]
@@ -43,12 +43,12 @@
   })
 }
 
-/** Kinds that may move traffic from one backend server to another, or stop it. */
-const movesTraffic: ReadonlySet<ChangeKind> = new Set([
+/** Kinds of change that may move traffic from one backend server to another, or stop it. */
+const kindsMovingTraffic: ReadonlySet<ChangeKind> = new Set([
   ChangeKind.PutServer, ChangeKind.RemoveServer, ChangeKind.RemoveModel, ChangeKind.RemoveService,
   ChangeKind.RemoveAccount, ChangeKind.PutPreset, ChangeKind.SwitchPreset
 ])
 
-export function doesMoveTraffic (changes: readonly Change[]): boolean {
-  return changes.some(change => movesTraffic.has(change.kind))
+export function mayMoveTraffic (changes: readonly Change[]): boolean {
+  return changes.some(change => kindsMovingTraffic.has(change.kind))
 }
--- a/packages/foxtaillever-control/src/index.ts
+++ b/packages/foxtaillever-control/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the control protocol. */
+/** Public API of the control protocol. */
 export * from './client/controlClient.js'
 export * from './configuration/compareConfigurations.js'
 export * from './configuration/describeChanges.js'
--- a/packages/foxtaillever-control/src/protocol/control.ts
+++ b/packages/foxtaillever-control/src/protocol/control.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry instance lets operators do. The instance implements it; the
- * router of this package puts it on a port, the client calls it.
+ * Operations that an entry instance offers to operators. The instance implements
+ * them, this package's router serves them on a port, and the client calls them.
  */
 import type { Failure } from 'foxtaillever-core'
 import type { InForce, Publication, PublicationOrder } from 'foxtaillever-fleet'
@@ -11,15 +11,15 @@
 
 export interface Control {
   configuration: () => Either<Failure, ConfigurationView>
-  /** The answer says what became of the record; a failure means that none was written. */
+  /** The answer states the outcome of the record; a failure means that no record was written. */
   publish: (order: PublicationOrder) => Promise<Either<Failure, Publication>>
   /** Answers when all live instances have the revision in force, at the latest at the deadline. */
   waitInForce: (revision: number, deadline: number) => Promise<InForce>
-  /** Entry instances as this one knows them, itself included. */
+  /** Entry instances that this instance knows, including itself. */
   members: () => readonly MemberView[]
   servers: () => readonly ServerView[]
   accounts: () => readonly AccountView[]
-  /** Of one client account, or of all. */
+  /** Figures of one client account, or of all. */
   figures: (account?: string) => Promise<Either<Failure, Figures>>
   giveOrder: (order: ServerOrder, author: string) => Promise<Either<Failure, OrderProgress>>
   orders: () => readonly OrderProgress[]
--- a/packages/foxtaillever-control/src/protocol/figures.ts
+++ b/packages/foxtaillever-control/src/protocol/figures.ts
@@ -1,11 +1,11 @@
 /**
  * Counts of one instance since its start, for one client account or all of
- * them. Counts of several instances are added; an instance that was replaced
- * takes its counts with it, so every sum says since when it counts.
+ * them. Counts of several instances are added. The counts of an instance that was
+ * replaced are lost, so every sum states the time from which it counts.
  */
 import { PriorityClass } from 'foxtaillever-core'
 
-/** Upper ends of the buckets of time to first token, seconds; the last one is open. */
+/** Upper bounds of the buckets of time to first token, seconds; the last one is unbounded. */
 export const FIRST_TOKEN_BUCKETS_S: readonly number[] = [0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1, 1.5, 2.5, 5, 10, Infinity]
 
 export interface Figures {
@@ -18,14 +18,14 @@
   readonly refused: Readonly<Record<string, number>>
   /** Failed after they were accepted, by verdict. */
   readonly failed: Readonly<Record<string, number>>
-  /** Answered after their deadline, or given up at it. */
+  /** Answered after their deadline, or timed out. */
   readonly late: number
   readonly retried: number
   readonly promptTokens: number
   readonly cachedTokens: number
-  /** Prompt tokens computed although some backend server held them. */
+  /** Prompt tokens computed although some backend server had them cached. */
   readonly recomputedTokens: number
-  /** Requests by time to first token; one entry a bucket, not cumulative. */
+  /** Requests by time to first token; one entry per bucket, not cumulative. */
   readonly firstToken: readonly number[]
   readonly waiting: Readonly<Record<PriorityClass, number>>
   readonly running: number
@@ -49,30 +49,30 @@
   }
 }
 
-function addTables<Key extends string> (one: Readonly<Record<Key, number>>, other: Readonly<Record<Key, number>>): Record<Key, number> {
-  const sum: Record<Key, number> = { ...one }
-  for (const [key, count] of Object.entries(other) as Array<[Key, number]>) {
+function addCounts<Key extends string> (a: Readonly<Record<Key, number>>, b: Readonly<Record<Key, number>>): Record<Key, number> {
+  const sum: Record<Key, number> = { ...a }
+  for (const [key, count] of Object.entries(b) as Array<[Key, number]>) {
     sum[key] = (sum[key] ?? 0) + count
   }
   return sum
 }
 
-/** The sum counts from the latest start on: before it, one of the two is silent. */
-export function addFigures (one: Figures, other: Figures): Figures {
+/** The sum counts from the later start: before it, only one of the two instances counted. */
+export function addFigures (a: Figures, b: Figures): Figures {
   return {
-    startedAt: Math.max(one.startedAt, other.startedAt),
-    takenAt: Math.min(one.takenAt, other.takenAt),
-    served: one.served + other.served,
-    refused: addTables(one.refused, other.refused),
-    failed: addTables(one.failed, other.failed),
-    late: one.late + other.late,
-    retried: one.retried + other.retried,
-    promptTokens: one.promptTokens + other.promptTokens,
-    cachedTokens: one.cachedTokens + other.cachedTokens,
-    recomputedTokens: one.recomputedTokens + other.recomputedTokens,
-    firstToken: one.firstToken.map((count, index) => count + (other.firstToken[index] ?? 0)),
-    waiting: addTables(one.waiting, other.waiting),
-    running: one.running + other.running
+    startedAt: Math.max(a.startedAt, b.startedAt),
+    takenAt: Math.min(a.takenAt, b.takenAt),
+    served: a.served + b.served,
+    refused: addCounts(a.refused, b.refused),
+    failed: addCounts(a.failed, b.failed),
+    late: a.late + b.late,
+    retried: a.retried + b.retried,
+    promptTokens: a.promptTokens + b.promptTokens,
+    cachedTokens: a.cachedTokens + b.cachedTokens,
+    recomputedTokens: a.recomputedTokens + b.recomputedTokens,
+    firstToken: a.firstToken.map((count, index) => count + (b.firstToken[index] ?? 0)),
+    waiting: addCounts(a.waiting, b.waiting),
+    running: a.running + b.running
   }
 }
 
@@ -80,14 +80,14 @@
   return Object.values(counts).reduce((sum, count) => sum + count, 0)
 }
 
-/** Share of prompt tokens that came from cache; undefined before any. */
+/** Share of prompt tokens that were cached; undefined before the first one. */
 export function hitRate ({ cachedTokens, promptTokens }: Figures): number | undefined {
   return promptTokens === 0 ? undefined : cachedTokens / promptTokens
 }
 
 /**
- * Upper end, in seconds, of the bucket in which the quantile lies; undefined
- * before any answer, Infinity beyond the last closed bucket.
+ * Upper bound, in seconds, of the bucket that holds the quantile; undefined
+ * before any answer, Infinity for the last bucket.
  */
 export function firstTokenQuantile ({ firstToken }: Figures, quantile: number): number | undefined {
   const all = firstToken.reduce((sum, count) => sum + count, 0)
--- a/packages/foxtaillever-control/src/protocol/orders.ts
+++ b/packages/foxtaillever-control/src/protocol/orders.ts
@@ -1,6 +1,6 @@
 /**
- * Orders to backend servers: each names a wanted state, which is observed and
- * corrected until it holds.
+ * Orders to backend servers. Each names a wanted state; the actual state is
+ * polled and corrected until both agree.
  */
 export enum OrderKind {
   LoadWeights = 'load-weights',
@@ -21,7 +21,7 @@
   /** Waits for the lease or for the weight store. */
   Waiting = 'waiting',
   Sent = 'sent',
-  /** The backend server was seen in the wanted state. */
+  /** The backend server has reported the wanted state. */
   Done = 'done',
   Failed = 'failed'
 }
--- a/packages/foxtaillever-control/src/protocol/views.ts
+++ b/packages/foxtaillever-control/src/protocol/views.ts
@@ -1,12 +1,12 @@
 /**
- * What an entry instance shows to operators.
+ * State of an entry instance, as operators see it.
  */
 import type { AdministrativeState, Configuration, PriorityClass, ServerKind, Verdict } from 'foxtaillever-core'
 import type { AcceptedRevision } from 'foxtaillever-fleet'
 
 export interface ConfigurationView {
   readonly configuration: Configuration
-  /** Every record of the log up to this offset is folded in. */
+  /** Every record of the log up to this offset is folded. */
   readonly offset: number
   readonly digest: string
   /** The last accepted revisions and their authors, oldest first. */
@@ -23,11 +23,11 @@
   readonly name: string
   readonly failureDomain: string
   readonly state: MemberCondition
-  /** IP number and port for operators. */
+  /** IP address and port for operators. */
   readonly controlAddress: string
-  /** Revision of the configuration in force there, as last heard. */
+  /** Revision of the configuration in force there, as last reported. */
   readonly revision: number
-  /** When it was last heard from, milliseconds of Unix time. */
+  /** When its last message arrived, milliseconds of Unix time. */
   readonly heardAt: number
 }
 
@@ -37,16 +37,16 @@
   readonly failureDomain: string
   readonly address: string
   readonly state: AdministrativeState
-  /** Whether it gets new work from this instance now. */
+  /** Whether this instance sends it new requests now. */
   readonly ready: boolean
-  /** Why not; empty when ready. */
+  /** Why it is not ready; empty when ready. */
   readonly reason: string
   readonly slots: number
   /** Requests of this instance that run there. */
   readonly running: number
   /** Empty until its first answer. */
   readonly incarnation: string
-  /** Share of its usual work that it gets; below 1 when slow, cold or suspect. */
+  /** Share of its usual load that it gets; below 1 when slow, cold or suspect. */
   readonly share: number
 }
 
@@ -66,14 +66,14 @@
   readonly failureDomain: string
   /** Milliseconds of Unix time. */
   readonly takenAt: number
-  /** One entry a part of the process. */
+  /** One entry per part of the process. */
   readonly parts: Readonly<Record<string, unknown>>
-  /** Tables cut to their bound, and how many entries were left out. */
+  /** Number of omitted entries of each table that was longer than its limit. */
   readonly leftOut: Readonly<Record<string, number>>
 }
 
-/** One candidate as it was weighed. */
-export interface WeighedServer {
+/** A candidate and its computed cost. */
+export interface ScoredServer {
   readonly server: string
   readonly cost: number
 }
@@ -91,17 +91,17 @@
   Cancelled = 'cancelled'
 }
 
-/** One thing that was decided for a request, or that became of it. */
+/** A decision about a request, or an event of it. */
 export interface Decision {
   readonly kind: DecisionKind
   /** Milliseconds of Unix time. */
   readonly at: number
-  /** The rule that decided; empty when nothing was decided. */
+  /** The rule that was applied; empty for an event without a decision. */
   readonly rule: string
-  /** Backend server; empty when none is concerned. */
+  /** Backend server; empty when none is involved. */
   readonly server: string
   /** Cheapest first; the unit is that of the placement policy. */
-  readonly candidates: readonly WeighedServer[]
+  readonly candidates: readonly ScoredServer[]
   readonly verdict?: Verdict
   readonly message: string
 }
@@ -117,6 +117,6 @@
   /** Milliseconds of Unix time. */
   readonly deadline: number
   readonly decisions: readonly Decision[]
-  /** Decisions dropped because one request may keep only so many. */
+  /** Number of decisions dropped above the limit for one request. */
   readonly leftOut: number
 }
--- a/packages/foxtaillever-control/src/server/controlFailure.ts
+++ b/packages/foxtaillever-control/src/server/controlFailure.ts
@@ -1,11 +1,11 @@
 /**
- * Carries a failure with its verdict through the protocol.
+ * Converts failures with their verdicts to errors of the control protocol.
  */
 import { TRPCError } from '@trpc/server'
 import { Failure, FailureCode, Verdict } from 'foxtaillever-core'
 import type { Either } from 'purify-ts'
 
-/** A failure as it crosses the wire. */
+/** A failure as it is sent on the wire. */
 export interface FailureShape {
   readonly code: FailureCode
   readonly verdict: Verdict
@@ -23,7 +23,7 @@
   [FailureCode.NoConfiguration]: 'SERVICE_UNAVAILABLE'
 }
 
-/** Wraps a failure, since the library wants an Error as cause. */
+/** Wraps a failure, since tRPC requires an Error as cause. */
 class FailureCause extends Error {
   constructor (readonly failure: Failure) {
     super(failure.message)
@@ -34,7 +34,7 @@
   return new TRPCError({ code: statuses[failure.code] ?? 'INTERNAL_SERVER_ERROR', message: failure.message, cause: new FailureCause(failure) })
 }
 
-/** The right side, or throws the left one as the library wants it. */
+/** Returns the right side, or throws the left one as an error of tRPC. */
 export function orThrow<Value> (result: Either<Failure, Value>): Value {
   return result.caseOf({
     Left: failure => { throw createControlError(failure) },
@@ -42,18 +42,18 @@
   })
 }
 
-function asFailure (error: TRPCError): Failure {
+function extractFailure (error: TRPCError): Failure {
   if (error.cause instanceof FailureCause) {
     return error.cause.failure
   }
-  // The library refuses malformed input and unknown procedures before anything runs.
+  // tRPC refuses malformed input and unknown procedures before anything runs.
   const refused = error.code === 'BAD_REQUEST' || error.code === 'NOT_FOUND' || error.code === 'METHOD_NOT_SUPPORTED'
   return refused
-    ? Failure.notRun(FailureCode.BadRequest, 'The instance does not understand this; compare versions.')
-    : Failure.create(FailureCode.Internal, Verdict.MayHaveRun, 'The instance met an error of its own; its log has more.')
+    ? Failure.notRun(FailureCode.BadRequest, 'The instance does not support this call; compare versions.')
+    : Failure.create(FailureCode.Internal, Verdict.MayHaveRun, 'Internal error of the instance; see its log.')
 }
 
-export function shapeOf (error: TRPCError): FailureShape {
-  const { code, verdict, message, retryAt } = asFailure(error)
+export function toFailureShape (error: TRPCError): FailureShape {
+  const { code, verdict, message, retryAt } = extractFailure(error)
   return { code, verdict, message, ...(retryAt === undefined ? {} : { retryAt }) }
 }
--- a/packages/foxtaillever-control/src/server/controlRouter.ts
+++ b/packages/foxtaillever-control/src/server/controlRouter.ts
@@ -1,6 +1,6 @@
 /**
- * Puts an instance's control on the wire. Every procedure needs an operator's
- * token, and every error carries a verdict.
+ * Serves an instance's control as tRPC procedures. Every procedure requires an
+ * operator's token, and every error carries a verdict.
  */
 import { initTRPC } from '@trpc/server'
 import { Failure, FailureCode, type Clock } from 'foxtaillever-core'
@@ -8,7 +8,7 @@
 import { z } from 'zod'
 import type { Control } from '../protocol/control.js'
 import { OrderKind } from '../protocol/orders.js'
-import { createControlError, orThrow, shapeOf } from './controlFailure.js'
+import { createControlError, orThrow, toFailureShape } from './controlFailure.js'
 import type { Operators } from './operators.js'
 
 export interface ControlContext {
@@ -18,22 +18,22 @@
   readonly operator: string
 }
 
-/** A call may wait this long for the log or for other instances, milliseconds. */
-export const LONGEST_WAIT_MS = 60_000
+/** Longest time that a call may wait for the log or for other instances, milliseconds. */
+export const MAX_WAIT_MS = 60_000
 
-/** More changes than a file of the two-year size makes; bounds one record. */
-const MOST_CHANGES = 10_000
+/** Bounds the size of one record; more than a configuration file of the size expected in two years needs. */
+const MAX_CHANGES = 10_000
 
 const publication = z.object({
   base: z.number().int().min(0),
-  changes: z.array(z.custom<Change>(change => isApplicable(change as Change))).min(1).max(MOST_CHANGES),
-  /** Counted from arrival, since operators' clocks are not the instances'. */
-  waitMs: z.number().int().min(1).max(LONGEST_WAIT_MS)
+  changes: z.array(z.custom<Change>(change => isApplicable(change as Change))).min(1).max(MAX_CHANGES),
+  /** Counted from arrival, since the clocks of operators and instances differ. */
+  waitMs: z.number().int().min(1).max(MAX_WAIT_MS)
 })
 
 const wait = z.object({
   revision: z.number().int().min(0),
-  waitMs: z.number().int().min(1).max(LONGEST_WAIT_MS)
+  waitMs: z.number().int().min(1).max(MAX_WAIT_MS)
 })
 
 const serverOrder = z.object({
@@ -45,7 +45,7 @@
 
 const t = initTRPC.context<ControlContext>().create({
   isDev: false,
-  errorFormatter: ({ shape, error }) => ({ ...shape, data: { ...shape.data, failure: shapeOf(error) } })
+  errorFormatter: ({ shape, error }) => ({ ...shape, data: { ...shape.data, failure: toFailureShape(error) } })
 })
 
 const procedure = t.procedure.use(async ({ ctx, next }) => {
--- a/packages/foxtaillever-control/src/server/operators.ts
+++ b/packages/foxtaillever-control/src/server/operators.ts
@@ -1,7 +1,7 @@
 /**
- * Who may use the control port. Tokens are compared by digest and in constant
- * time: a comparison that stops at the first wrong digit would tell an
- * attacker, by how long it takes, how much of a token is right.
+ * Authenticates operators at the control port. Tokens are compared by digest and
+ * in constant time: the duration of a comparison that stops at the first wrong
+ * digit would show an attacker how much of a token is right.
  */
 import { createHash, timingSafeEqual } from 'node:crypto'
 
@@ -11,7 +11,7 @@
   readonly tokenDigests: readonly string[]
 }
 
-interface Entry {
+interface TokenEntry {
   readonly name: string
   readonly digest: Buffer
 }
@@ -19,21 +19,21 @@
 const BEARER = /^Bearer (\S+)$/
 
 export class Operators {
-  private constructor (private readonly entries: readonly Entry[]) {}
+  private constructor (private readonly entries: readonly TokenEntry[]) {}
 
   static create (operators: readonly OperatorTokens[]): Operators {
     return new Operators(operators.flatMap(({ name, tokenDigests }) => tokenDigests.map(digest => ({ name, digest: Buffer.from(digest, 'hex') }))))
   }
 
-  /** The operator's name, from an Authorization header; empty when unknown. */
+  /** Returns the name of the operator whose token an Authorization header holds; empty when unknown. */
   authenticate (header: string | undefined): string {
     const token = BEARER.exec(header ?? '')?.[1] ?? ''
     const digest = createHash('sha256').update(token).digest()
     let name = ''
-    // Every entry is compared, whichever matches.
+    // Compares every entry, also after a match, so that the time stays constant.
     for (const entry of this.entries) {
-      const same = timingSafeEqual(entry.digest, digest)
-      name = same ? entry.name : name
+      const isMatch = timingSafeEqual(entry.digest, digest)
+      name = isMatch ? entry.name : name
     }
     return name
   }
--- a/packages/foxtaillever/src/__tests__/commands.test.ts
+++ b/packages/foxtaillever/src/__tests__/commands.test.ts
@@ -20,7 +20,7 @@
 /** One instance with the example in force. */
 async function withInstance (use: (bench: Bench) => Promise<void>): Promise<void> {
   const control = FakeControl.create('entry-1')
-  control.folded = { ...createConfiguration(parseConfigurationFile('', await readFile(example, 'utf8')).unsafeCoerce()), revision: 1 }
+  control.currentConfiguration = { ...createConfiguration(parseConfigurationFile('', await readFile(example, 'utf8')).unsafeCoerce()), revision: 1 }
   const served = await serveControl(control, { marilia: token })
   const env = { FOXTAILLEVER_ADDRESS: served.address, FOXTAILLEVER_TOKEN: token }
   try {
@@ -44,21 +44,21 @@
     it('is compared with what is in force', async t => {
       await withInstance(async ({ control, run }) => {
         t.deepEqual(await run('config', 'diff', example), { code: ExitCode.Done, out: 'No difference from revision 1.\n', err: '' })
-        const { [Object.keys(control.folded.accounts)[0] ?? '']: _, ...accounts } = control.folded.accounts
-        control.folded = { ...control.folded, accounts }
+        const { [Object.keys(control.currentConfiguration.accounts)[0] ?? '']: _, ...accounts } = control.currentConfiguration.accounts
+        control.currentConfiguration = { ...control.currentConfiguration, accounts }
         t.deepEqual(await run('config', 'diff', example), { code: ExitCode.Different, out: '+ account cooperativa-sao-francisco\n', err: '' })
       })
     })
 
     it('is published, and instances that lag are named', async t => {
       await withInstance(async ({ control, run }) => {
-        control.folded = { ...control.folded, accounts: {} }
-        control.lagging = ['entry-7']
+        control.currentConfiguration = { ...control.currentConfiguration, accounts: {} }
+        control.laggingInstances = ['entry-7']
         const { code, out } = await run('config', 'publish', example, '--wait')
         t.is(code, ExitCode.NotEverywhere)
         t.true(out.includes('Accepted as revision 2.'))
         t.true(out.includes('Missing: entry-7.'))
-        t.is(Object.keys(control.folded.accounts).length, 8)
+        t.is(Object.keys(control.currentConfiguration.accounts).length, 8)
       })
     })
 
@@ -80,7 +80,7 @@
         const { code, err } = await run('preset', 'switch', 'peaks')
         t.is(code, ExitCode.NotConfirmed)
         t.is(err, 'This may move traffic of revision 1. Nobody can be asked here: give --yes.\n')
-        t.is(control.folded.presetInForce, PresetName.OrdinaryDays)
+        t.is(control.currentConfiguration.presetInForce, PresetName.OrdinaryDays)
       })
     })
 
@@ -104,9 +104,9 @@
     it('are drained and returned', async t => {
       await withInstance(async ({ control, run }) => {
         t.is((await run('drain', 'order-language-3', '--yes')).out, '~ server order-language-3: state "in-service" -> "draining"\nAccepted as revision 2.\n')
-        t.is(control.folded.servers['order-language-3']?.state, AdministrativeState.Draining)
+        t.is(control.currentConfiguration.servers['order-language-3']?.state, AdministrativeState.Draining)
         await run('return', 'order-language-3', '--yes')
-        t.is(control.folded.servers['order-language-3']?.state, AdministrativeState.InService)
+        t.is(control.currentConfiguration.servers['order-language-3']?.state, AdministrativeState.InService)
       })
     })
 
--- a/packages/foxtaillever/src/publish/publishCommand.ts
+++ b/packages/foxtaillever/src/publish/publishCommand.ts
@@ -5,7 +5,7 @@
  */
 import { Option } from 'clipanion'
 import type { Configuration, Failure } from 'foxtaillever-core'
-import { describeChanges, doesMoveTraffic } from 'foxtaillever-control'
+import { describeChanges, mayMoveTraffic } from 'foxtaillever-control'
 import { PublicationOutcome, type Change, type InForce, type Publication } from 'foxtaillever-fleet'
 import { EitherAsync, Right, type Either } from 'purify-ts'
 import type { Connection } from '../connection/connection.js'
@@ -61,7 +61,7 @@
     if (!this.json) {
       this.context.stdout.write(lines.map(line => `${line}\n`).join(''))
     }
-    if (doesMoveTraffic(changes) && !this.yes && !await confirm(this.context, `This may move traffic of revision ${configuration.revision}.`)) {
+    if (mayMoveTraffic(changes) && !this.yes && !await confirm(this.context, `This may move traffic of revision ${configuration.revision}.`)) {
       return Right(ExitCode.NotConfirmed)
     }
     const published = await connection.ask(async client => await client.publish(configuration.revision, changes, PUBLICATION_WAIT_MS))
