--- a/packages/foxtaillever-router/src/commands/serve.ts
+++ b/packages/foxtaillever-router/src/commands/serve.ts
@@ -1,6 +1,6 @@
 import { Command, Option } from 'clipanion'
 import { SystemClock } from 'foxtaillever-core'
-import { formatComplaint, loadRouterSettings, type Complaint, type RouterSettings } from 'foxtaillever-settings'
+import { formatDiagnostic, loadRouterSettings, type Diagnostic, type RouterSettings } from 'foxtaillever-settings'
 import { createEntryInstanceOptions } from '../instance/createEntryInstanceOptions.js'
 import { EntryInstance } from '../instance/entryInstance.js'
 
@@ -49,8 +49,8 @@
     })
   }
 
-  private complain (complaints: readonly Complaint[]): void {
-    complaints.forEach(complaint => this.context.stderr.write(`${formatComplaint(complaint)}\n`))
+  private complain (complaints: readonly Diagnostic[]): void {
+    complaints.forEach(complaint => this.context.stderr.write(`${formatDiagnostic(complaint)}\n`))
   }
 
   private approve (): ExitCode {
--- a/packages/foxtaillever-settings/src/__tests__/badConfiguration.test.ts
+++ b/packages/foxtaillever-settings/src/__tests__/badConfiguration.test.ts
@@ -1,10 +1,10 @@
 import { describe, it } from 'foxtaillever-testing'
-import { linesOf, parseConfigurationFile } from '../index.js'
+import { formatErrors, parseConfigurationFile } from '../index.js'
 
 const digest = '0123456789abcdef'.repeat(4)
 
-/** One part a line, so that a change of one moves no other. */
-const good: Readonly<Record<string, string>> = {
+/** One part per line, so that a change of one part moves no other. */
+const validParts: Readonly<Record<string, string>> = {
   accounts: `{ "vale": { "keyDigests": ["${digest}"], "weight": 2, "priority": "standard", "tokensPerSecond": 900, "concurrentRequests": 8 } }`,
   servers: '{ "engine-1": { "kind": "language", "address": "10.0.0.5:8000", "failureDomain": "recife", "models": ["feed"], "slots": 8, "prefillTokensPerSecond": 9000, "decodeTokensPerSecond": 900, "cacheTokens": 90000 }, "orders-1": { "kind": "plain", "address": "10.0.0.6:8000", "failureDomain": "recife", "slots": 8 } }',
   models: '{ "feed": { "weightsVersion": "1" } }',
@@ -12,18 +12,18 @@
   presets: '{ "ordinary-days": {}, "peaks": {}, "maintenance": {} }'
 }
 
-interface Bad {
+interface InvalidCase {
   readonly title: string
   readonly part: string
-  /** Replaced in the good text of the part. */
+  /** Text to replace in the valid part. */
   readonly from: string
   readonly to: string
   readonly messages: readonly string[]
 }
 
-const table: readonly Bad[] = [
+const invalidCases: readonly InvalidCase[] = [
   {
-    title: 'a weight of nothing',
+    title: 'a weight of zero',
     part: 'accounts',
     from: '"weight": 2',
     to: '"weight": 0',
@@ -100,7 +100,7 @@
     messages: ['c.jsonc:5:60: services.orders.servers[0] names the language server "engine-1" for a plain service. Name a server with "kind": "plain".']
   },
   {
-    title: 'a call that an earlier one hides',
+    title: 'a call that never applies because an earlier one matches first',
     part: 'services',
     from: '"calls": [',
     to: '"calls": [{ "method": "POST", "path": "/", "idempotent": true }, ',
@@ -150,21 +150,21 @@
   }
 ]
 
-function render ({ part, from, to }: Pick<Bad, 'part' | 'from' | 'to'>): string {
-  const parts = Object.entries(good).map(([name, text]) => `  "${name}": ${name === part ? text.replace(from, to) : text}`)
+function render ({ part, from, to }: Pick<InvalidCase, 'part' | 'from' | 'to'>): string {
+  const parts = Object.entries(validParts).map(([name, text]) => `  "${name}": ${name === part ? text.replace(from, to) : text}`)
   return `{\n${parts.join(',\n')}\n}\n`
 }
 
 describe('configuration file', () => {
-  describe('with something wrong', () => {
-    for (const bad of table) {
-      it(`tells of ${bad.title}`, t => {
-        t.deepEqual(linesOf(parseConfigurationFile('c.jsonc', render(bad))), bad.messages)
+  describe('with an error', () => {
+    for (const invalidCase of invalidCases) {
+      it(`reports ${invalidCase.title}`, t => {
+        t.deepEqual(formatErrors(parseConfigurationFile('c.jsonc', render(invalidCase))), invalidCase.messages)
       })
     }
   })
 
-  it('is taken when all is right', t => {
+  it('is accepted when valid', t => {
     t.true(parseConfigurationFile('c.jsonc', render({ part: '', from: '', to: '' })).isRight())
   })
 })
--- a/packages/foxtaillever-settings/src/__tests__/badRouterSettings.test.ts
+++ b/packages/foxtaillever-settings/src/__tests__/badRouterSettings.test.ts
@@ -1,11 +1,11 @@
 import { describe, it } from 'foxtaillever-testing'
-import { linesOf, LogLevel, parseRouterSettings } from '../index.js'
+import { formatErrors, LogLevel, parseRouterSettings } from '../index.js'
 
 const key = '0123456789abcdef'.repeat(4)
 const digest = 'fedcba9876543210'.repeat(4)
 
-/** One setting a line, so that a change of one moves no other. */
-const good: Readonly<Record<string, string>> = {
+/** One setting per line, so that a change of one setting moves no other. */
+const validSettings: Readonly<Record<string, string>> = {
   name: '"entry-1"',
   failureDomain: '"petrolina"',
   listen: '{ "host": "10.0.0.1", "port": 8080 }',
@@ -18,24 +18,24 @@
 }
 
 function render (changes: Readonly<Record<string, string | undefined>>): string {
-  const parts = Object.entries({ ...good, ...changes }).flatMap(([name, value]) => value === undefined ? [] : [`  "${name}": ${value}`])
+  const parts = Object.entries({ ...validSettings, ...changes }).flatMap(([name, value]) => value === undefined ? [] : [`  "${name}": ${value}`])
   return `{\n${parts.join(',\n')}\n}\n`
 }
 
-interface Bad {
+interface InvalidCase {
   readonly title: string
   readonly changes: Readonly<Record<string, string | undefined>>
   readonly messages: readonly string[]
 }
 
-const table: readonly Bad[] = [
+const invalidCases: readonly InvalidCase[] = [
   {
     title: 'an unknown setting',
     changes: { peer: '[]' },
     messages: ['r.jsonc:11:3: peer is not a setting. Write "peers".']
   },
   {
-    title: 'an unknown setting that resembles none',
+    title: 'an unknown setting that is similar to none',
     changes: { platform: '{ "logAddress": "10.0.0.9:7000", "listAddress": "10.0.0.9:7001", "logRetentionMs": 86400000, "zookeeper": "x" }' },
     messages: ['r.jsonc:8:108: platform.zookeeper is not a setting. Known here: logAddress, listAddress, logRetentionMs.']
   },
@@ -140,7 +140,7 @@
     messages: ['r.jsonc:5:50: control.port is written twice. Keep one of the two.']
   },
   {
-    title: 'several faults, in the order of the file',
+    title: 'several errors, in the order of the file',
     changes: { name: '"Entry One"', peers: '"10.0.0.2:8081"' },
     messages: [
       'r.jsonc:2:3: name is not a name. Use 1 to 63 of a-z, 0-9, dot, dash and underscore, starting with a letter or digit.',
@@ -149,37 +149,37 @@
   }
 ]
 
-function complaintsOf (text: string): readonly string[] {
-  return linesOf(parseRouterSettings('r.jsonc', text, {}))
+function findErrors (text: string): readonly string[] {
+  return formatErrors(parseRouterSettings('r.jsonc', text, {}))
 }
 
 describe('settings of an entry instance', () => {
-  describe('with something wrong', () => {
-    for (const { title, changes, messages } of table) {
-      it(`tell of ${title}`, t => {
-        t.deepEqual(complaintsOf(render(changes)), messages)
+  describe('with an error', () => {
+    for (const { title, changes, messages } of invalidCases) {
+      it(`report ${title}`, t => {
+        t.deepEqual(findErrors(render(changes)), messages)
       })
     }
 
-    it('tell where the text stops being JSON', t => {
-      t.deepEqual(complaintsOf('{\n  "name": "a" "b"\n}'), ['r.jsonc:2:15: This is not JSON with comments: comma expected. Check commas, quotes and brackets just before this place.'])
+    it('report where the text is not JSON', t => {
+      t.deepEqual(findErrors('{\n  "name": "a" "b"\n}'), ['r.jsonc:2:15: This is not JSON with comments: comma expected. Check commas, quotes and brackets just before this place.'])
     })
 
-    it('tell of an empty file', t => {
-      t.deepEqual(complaintsOf(''), ['r.jsonc:1:1: This is not JSON with comments: value expected. Check commas, quotes and brackets just before this place.'])
+    it('report an empty file', t => {
+      t.deepEqual(findErrors(''), ['r.jsonc:1:1: This is not JSON with comments: value expected. Check commas, quotes and brackets just before this place.'])
     })
   })
 
-  describe('with all right', () => {
-    it('are taken, with comments and defaults', t => {
+  describe('without errors', () => {
+    it('are accepted, with comments and defaults', t => {
       const settings = parseRouterSettings('r.jsonc', `// comment\n${render({})}`, {}).unsafeCoerce()
       t.is(settings.logLevel, LogLevel.Info)
       t.is(settings.limits.idleTimeoutMs, 75_000)
     })
 
-    // A dump or a log line of the settings must not hand out the key by which
-    // instances know each other: whoever read it could pose as one.
-    it('show no key when printed', t => {
+    // A dump or a log line of the settings must not show the key by which instances
+    // authenticate each other: a reader could impersonate an instance.
+    it('hide keys when printed', t => {
       const settings = parseRouterSettings('r.jsonc', render({}), {}).unsafeCoerce()
       t.is(settings.memberKeys[0]?.secret.reveal(), key)
       t.false(JSON.stringify(settings).includes(key))
--- a/packages/foxtaillever-settings/src/configuration/configurationSchema.ts
+++ b/packages/foxtaillever-settings/src/configuration/configurationSchema.ts
@@ -1,6 +1,6 @@
 /**
  * Schema of the operators' configuration file. Entries are keyed by name, so
- * that no name can stand twice.
+ * that names are unique.
  */
 import { AdministrativeState, PlacementPolicy, PresetName, PriorityClass, ServerKind } from 'foxtaillever-core'
 import { z } from 'zod'
--- a/packages/foxtaillever-settings/src/configuration/validateConfiguration.ts
+++ b/packages/foxtaillever-settings/src/configuration/validateConfiguration.ts
@@ -1,11 +1,11 @@
 /**
- * Checks a configuration that comes from no file: what changes published by
- * commands or other tools would make of the one in force.
+ * Validates a configuration that was not read from a file: the result of changes
+ * that commands or other tools publish on top of the one in force.
  */
 import type { Configuration } from 'foxtaillever-core'
 import * as R from 'fp-ts/lib/Record.js'
 import { pipe } from 'fp-ts/lib/function.js'
-import type { Finding } from '../complaint.js'
+import type { Finding } from '../diagnostic.js'
 import { describeIssue } from '../document/describeIssue.js'
 import { checkConfigurationFile } from './checkConfigurationFile.js'
 import { configurationSchema, type ConfigurationFile } from './configurationSchema.js'
@@ -15,9 +15,9 @@
 }
 
 /**
- * The file that would give this configuration. What operators set by commands
- * (preset in force, drained servers) is left out, so that publishing the file
- * on another day does not undo what they did since.
+ * Creates the file that results in this configuration. What operators set by
+ * commands (preset in force, drained servers) is omitted, so that publishing the
+ * file later does not undo their commands in between.
  */
 export function createConfigurationFile (configuration: Configuration): ConfigurationFile {
   const { accounts, servers, models, services, presets } = configuration
@@ -31,7 +31,7 @@
   return file as unknown as ConfigurationFile
 }
 
-/** What is wrong with a configuration; nothing when it may be published. */
+/** Returns the errors of a configuration; empty when it may be published. */
 export function validateConfiguration (configuration: Configuration): readonly Finding[] {
   const file = createConfigurationFile(configuration)
   const parsed = configurationSchema.safeParse(file)
--- a/packages/foxtaillever-settings/src/complaint.ts
+++ b/packages/foxtaillever-settings/src/diagnostic.ts
@@ -1,10 +1,10 @@
 /**
- * What is wrong in a file, where, and how to mend it. Values from the file are
- * quoted only where they cannot be secrets.
+ * Errors in a file, with their position and how to fix them. Values from the file
+ * are quoted only where they cannot be secrets.
  */
 import type { Either } from 'purify-ts'
 
-export interface Complaint {
+export interface Diagnostic {
   readonly file: string
   /** From 1. */
   readonly line: number
@@ -14,19 +14,19 @@
   readonly mend: string
 }
 
-/** A complaint before its place in the file is known. */
+/** A diagnostic without its position in the file. */
 export interface Finding {
   readonly path: readonly (string | number)[]
   readonly problem: string
   readonly mend: string
 }
 
-/** One line, in the form that editors and terminals make a link of. */
-export function formatComplaint ({ file, line, column, problem, mend }: Complaint): string {
+/** One line, in the format that editors and terminals turn into a link. */
+export function formatDiagnostic ({ file, line, column, problem, mend }: Diagnostic): string {
   return `${file}:${line}:${column}: ${problem} ${mend}`
 }
 
-/** A path as a reader of the file would say it. */
+/** A path in the notation of JavaScript. */
 export function formatPath (path: readonly (string | number)[]): string {
   return path.reduce<string>((text, step) => text + formatStep(step, text === ''), '') || 'the file'
 }
@@ -41,7 +41,7 @@
   return first ? step : `.${step}`
 }
 
-/** Complaints as lines; none when the file was taken. */
-export function linesOf (loaded: Either<readonly Complaint[], unknown>): readonly string[] {
-  return loaded.caseOf({ Left: complaints => complaints.map(formatComplaint), Right: () => [] })
+/** Formats the errors of a load, one per line; empty when the file is valid. */
+export function formatErrors (loaded: Either<readonly Diagnostic[], unknown>): readonly string[] {
+  return loaded.caseOf({ Left: diagnostics => diagnostics.map(formatDiagnostic), Right: () => [] })
 }
--- a/packages/foxtaillever-settings/src/document/describeIssue.ts
+++ b/packages/foxtaillever-settings/src/document/describeIssue.ts
@@ -1,12 +1,12 @@
 /**
- * Turns what zod found into findings that say how to mend it.
+ * Converts zod's issues to findings that state how to fix the file.
  */
 import { z } from 'zod'
-import { formatPath, type Finding } from '../complaint.js'
+import { formatPath, type Finding } from '../diagnostic.js'
 import { ruleOf } from './formats.js'
-import { nearest } from './nearest.js'
+import { findNearestName } from './findNearestName.js'
 import { descriptionOf, knownKeys, schemaAt } from './schemaAt.js'
-import { convertText, unitOf } from './units.js'
+import { parseNumberWithUnit, unitOf } from './units.js'
 
 type Handler<Code extends z.ZodIssueCode> = (issue: Extract<z.ZodIssue, { code: Code }>, schema: z.ZodTypeAny, value: unknown) => readonly Finding[]
 
@@ -15,7 +15,7 @@
   return String(names[names.length - 1] ?? '')
 }
 
-function inUnit (path: readonly (string | number)[]): string {
+function formatUnit (path: readonly (string | number)[]): string {
   const unit = unitOf(lastName(path))
   return unit ? `, ${unit}` : ''
 }
@@ -26,10 +26,10 @@
   return { path, problem: `${formatPath(path)} is missing.`, mend: `Add "${lastName(path)}"${what ? `: ${what}` : '.'}` }
 }
 
-/** What one would write instead of text with a unit, such as "30s". */
+/** Suggests the number to write instead of text with a unit, such as "30s". */
 function describeTextForNumber (path: readonly (string | number)[], value: string): Finding {
-  const number = convertText(lastName(path), value)
-  const mend = number === undefined ? `Write a number${inUnit(path)}, without quotes.` : `Write ${number}, without quotes${inUnit(path)}.`
+  const number = parseNumberWithUnit(lastName(path), value)
+  const mend = number === undefined ? `Write a number${formatUnit(path)}, without quotes.` : `Write ${number}, without quotes${formatUnit(path)}.`
   return { path, problem: `${formatPath(path)} is text, not a number.`, mend }
 }
 
@@ -40,11 +40,11 @@
   if (expected === 'number' && typeof value === 'string') {
     return [describeTextForNumber(path, value)]
   }
-  const mend = expected === 'integer' ? `Write a whole number${inUnit(path)}.` : `Write ${article(expected)}${inUnit(path)}.`
-  return [{ path, problem: `${formatPath(path)} is ${article(received)}, not ${article(expected)}.`, mend }]
+  const mend = expected === 'integer' ? `Write a whole number${formatUnit(path)}.` : `Write ${describeKind(expected)}${formatUnit(path)}.`
+  return [{ path, problem: `${formatPath(path)} is ${describeKind(received)}, not ${describeKind(expected)}.`, mend }]
 }
 
-function article (kind: string): string {
+function describeKind (kind: string): string {
   const names: Readonly<Record<string, string>> = { array: 'a list', integer: 'a whole number', float: 'a number with a fraction', string: 'text', boolean: 'true or false', null: 'null', object: 'an object' }
   return names[kind] ?? `a ${kind}`
 }
@@ -52,35 +52,35 @@
 const describeUnknownKeys: Handler<'unrecognized_keys'> = ({ path, keys }, schema) => {
   const known = knownKeys(schema, path)
   return keys.map(key => {
-    const meant = nearest(key, known)
-    const mend = meant ? `Write "${meant}"${inUnit([meant])}.` : `Known here: ${known.join(', ')}.`
+    const meant = findNearestName(key, known)
+    const mend = meant ? `Write "${meant}"${formatUnit([meant])}.` : `Known here: ${known.join(', ')}.`
     return { path: [...path, key], problem: `${formatPath([...path, key])} is not a setting.`, mend }
   })
 }
 
-/** A time too short to be meant is most often one in seconds. */
+/** A time that is too short was most often written in seconds. */
 const describeTooSmall: Handler<'too_small'> = ({ path, minimum, inclusive, type }, _, value) => {
   const where = formatPath(path)
   if (type !== 'number') {
     return [{ path, problem: `${where} is empty.`, mend: `Give it at least ${minimum} ${Number(minimum) === 1 ? 'entry' : 'entries'}.` }]
   }
   const seconds = lastName(path).endsWith('Ms') && Number(value) > 0 ? ` If ${String(value)} s was meant, write ${Number(value) * 1000}.` : ''
-  return [{ path, problem: `${where} is ${String(value)}, ${inclusive ? 'below' : 'not above'} ${minimum}.`, mend: `Write ${inclusive ? `${minimum} or more` : `more than ${minimum}`}${inUnit(path)}.${seconds}` }]
+  return [{ path, problem: `${where} is ${String(value)}, ${inclusive ? 'below' : 'not above'} ${minimum}.`, mend: `Write ${inclusive ? `${minimum} or more` : `more than ${minimum}`}${formatUnit(path)}.${seconds}` }]
 }
 
 const describeTooBig: Handler<'too_big'> = ({ path, maximum }, _, value) => {
   const percent = lastName(path).endsWith('Share') && Number(value) <= 100 ? ` If ${String(value)}% was meant, write ${Number(value) / 100}.` : ''
-  return [{ path, problem: `${formatPath(path)} is ${String(value)}, above ${maximum}.`, mend: `Write ${maximum} or less${inUnit(path)}.${percent}` }]
+  return [{ path, problem: `${formatPath(path)} is ${String(value)}, above ${maximum}.`, mend: `Write ${maximum} or less${formatUnit(path)}.${percent}` }]
 }
 
-const describeText: Handler<'invalid_string'> = ({ path, message }) => {
+const describeFormat: Handler<'invalid_string'> = ({ path, message }) => {
   const rule = ruleOf(message)
   return [{ path, problem: `${formatPath(path)} ${rule?.problem ?? 'has the wrong form.'}`, mend: rule?.mend ?? message }]
 }
 
-const describeChoice: Handler<'invalid_enum_value'> = ({ path, options, received }) => {
+const describeEnum: Handler<'invalid_enum_value'> = ({ path, options, received }) => {
   const names = options.map(String)
-  const meant = nearest(String(received), names)
+  const meant = findNearestName(String(received), names)
   return [{ path, problem: `${formatPath(path)} is "${String(received)}", which is not one of ${names.join(', ')}.`, mend: meant ? `Write "${meant}".` : `Write one of ${names.join(', ')}.` }]
 }
 
@@ -89,11 +89,11 @@
   unrecognized_keys: describeUnknownKeys,
   too_small: describeTooSmall,
   too_big: describeTooBig,
-  invalid_string: describeText,
-  invalid_enum_value: describeChoice
+  invalid_string: describeFormat,
+  invalid_enum_value: describeEnum
 }
 
-/** @param value the whole file, for the value at the issue's path. */
+/** @param value content of the whole file, to look up the value at the issue's path. */
 export function describeIssue (issue: z.ZodIssue, schema: z.ZodTypeAny, value: unknown): readonly Finding[] {
   const handler = handlers[issue.code] as Handler<z.ZodIssueCode> | undefined
   const at = issue.path.reduce<unknown>((part, step) => (part as Record<string, unknown> | undefined)?.[step], value)
--- a/packages/foxtaillever-settings/src/document/findRepeats.ts
+++ b/packages/foxtaillever-settings/src/document/findRepeatedIndexes.ts
@@ -1,5 +1,5 @@
-/** Indexes of entries whose key an earlier entry has. */
-export function findRepeats<Entry> (entries: readonly Entry[], keyOf: (entry: Entry) => string): readonly number[] {
+/** Returns the indexes of entries that have the key of an earlier entry. */
+export function findRepeatedIndexes<Entry> (entries: readonly Entry[], keyOf: (entry: Entry) => string): readonly number[] {
   const seen = new Set<string>()
   return entries.flatMap((entry, index) => {
     const key = keyOf(entry)
--- a/packages/foxtaillever-settings/src/document/formats.ts
+++ b/packages/foxtaillever-settings/src/document/formats.ts
@@ -1,6 +1,6 @@
 /**
- * Forms of text that several settings share, each with what to say when a text
- * does not have it. The text itself is never quoted: it may be a secret.
+ * Text formats that several settings share, each with its error message. The
+ * invalid text itself is never quoted: it may be a secret.
  */
 import { z } from 'zod'
 
@@ -14,7 +14,7 @@
   Variable = 'variable'
 }
 
-interface Rule {
+interface FormatRule {
   readonly pattern: RegExp
   readonly problem: string
   readonly mend: string
@@ -25,7 +25,7 @@
 const ipv6 = '[0-9a-fA-F:.]*:[0-9a-fA-F:.]*'
 const port = '(?:[1-9]\\d{0,3}|[1-5]\\d{4}|6[0-4]\\d{3}|65[0-4]\\d{2}|655[0-2]\\d|6553[0-5])'
 
-const rules: Record<Format, Rule> = {
+const rules: Record<Format, FormatRule> = {
   [Format.Address]: {
     pattern: new RegExp(`^(?:${ipv4}|\\[${ipv6}\\]):${port}$`),
     problem: 'is not an IP number and port.',
@@ -63,11 +63,11 @@
   }
 }
 
-/** The message carries the format, so that the complaint can look up its rule. */
+/** The message is the name of the format, by which the diagnostic finds its rule. */
 export function formatted (format: Format): z.ZodString {
   return z.string().regex(rules[format].pattern, format)
 }
 
-export function ruleOf (message: string): Rule | undefined {
+export function ruleOf (message: string): FormatRule | undefined {
   return rules[message as Format]
 }
--- a/packages/foxtaillever-settings/src/editor/createEditorSchema.ts
+++ b/packages/foxtaillever-settings/src/editor/createEditorSchema.ts
@@ -1,6 +1,6 @@
 /**
- * JSON schema of a settings file, for editors. It is made from the same schema
- * that checks the file; the committed files are compared with it by a test.
+ * Creates the JSON schema of a settings file, for editors, from the zod schema that
+ * validates the file. A test compares the committed files with the result.
  */
 import { z } from 'zod'
 import { descriptionOf } from '../document/schemaAt.js'
@@ -40,8 +40,8 @@
 }
 
 const convertArray: Handler<z.ZodArray<z.ZodTypeAny>> = schema => {
-  const least = schema._def.minLength?.value
-  return { type: 'array', items: createEditorSchema(schema.element), ...(least === undefined ? {} : { minItems: least }) }
+  const minLength = schema._def.minLength?.value
+  return { type: 'array', items: createEditorSchema(schema.element), ...(minLength === undefined ? {} : { minItems: minLength }) }
 }
 
 const convertRecord: Handler<z.ZodRecord> = schema => ({
@@ -69,12 +69,12 @@
   ZodDefault: (schema: z.ZodDefault<z.ZodTypeAny>) => ({ ...createEditorSchema(schema.removeDefault()), default: schema._def.defaultValue() })
 }
 
-/** @throws when the schema holds a part that this conversion does not know; a test meets that first. */
+/** @throws when the schema has a type that this conversion does not support; a test would fail first. */
 export function createEditorSchema (schema: z.ZodTypeAny): EditorSchema {
   const name = String(schema._def.typeName)
   const handler = handlers[name] as Handler<z.ZodTypeAny> | undefined
   if (!handler) {
-    throw new Error(`No JSON schema for ${name}.`)
+    throw new Error(`No conversion of ${name} to JSON schema.`)
   }
   const description = descriptionOf(schema)
   return { ...(description ? { description } : {}), ...handler(schema) }
--- a/packages/foxtaillever-settings/src/editor/renderEditorSchemas.ts
+++ b/packages/foxtaillever-settings/src/editor/renderEditorSchemas.ts
@@ -1,5 +1,5 @@
 /**
- * The text of the committed JSON schema files.
+ * Renders the text of the committed JSON schema files.
  */
 import type { z } from 'zod'
 import { configurationSchema } from '../configuration/configurationSchema.js'
@@ -12,7 +12,7 @@
   return `${JSON.stringify({ $schema: DIALECT, title, ...createEditorSchema(schema) }, null, 2)}\n`
 }
 
-/** Texts by file name below `schemas/`. */
+/** Returns texts by file name in `schemas/`. */
 export function renderEditorSchemas (): Readonly<Record<string, string>> {
   return {
     'configuration.schema.json': render('Configuration of foxtaillever', configurationSchema),
--- a/packages/foxtaillever-settings/src/index.ts
+++ b/packages/foxtaillever-settings/src/index.ts
@@ -1,5 +1,5 @@
-/** Public surface of settings and configuration files. */
-export * from './complaint.js'
+/** Public API of settings and configuration files. */
+export * from './diagnostic.js'
 export { configurationSchema, type ConfigurationFile } from './configuration/configurationSchema.js'
 export * from './configuration/loadConfigurationFile.js'
 export type { Environment } from './router/checkRouterFile.js'
--- a/packages/foxtaillever-settings/src/router/checkRouterFile.ts
+++ b/packages/foxtaillever-settings/src/router/checkRouterFile.ts
@@ -1,42 +1,42 @@
 /**
- * Contradictions between the parts of an entry instance's settings.
+ * Finds contradictions between the parts of an entry instance's settings.
  */
-import type { Finding } from '../complaint.js'
-import { formatPath } from '../complaint.js'
-import { findRepeats } from '../document/findRepeats.js'
+import type { Finding } from '../diagnostic.js'
+import { formatPath } from '../diagnostic.js'
+import { findRepeatedIndexes } from '../document/findRepeatedIndexes.js'
 import type { RouterFile } from './routerSchema.js'
 
 export type Environment = Readonly<Record<string, string | undefined>>
 
 type Check = (file: RouterFile, environment: Environment) => readonly Finding[]
 
-const ANY_HOST = ['0.0.0.0', '::']
+const WILDCARD_HOSTS = ['0.0.0.0', '::']
 
 function addressOf ({ host, port }: { readonly host: string, readonly port: number }): string {
   return host.includes(':') ? `[${host}]:${port}` : `${host}:${port}`
 }
 
-/** Others are told this host; "any" tells them nothing. */
+/** Other instances connect to this host, so it must not be a wildcard address. */
 const checkReachable: Check = file => (['control', 'gossip'] as const)
-  .filter(part => ANY_HOST.includes(file[part].host))
+  .filter(part => WILDCARD_HOSTS.includes(file[part].host))
   .map(part => ({
     path: [part, 'host'],
     problem: `${part}.host stands for every address, so other instances cannot be told how to reach this one.`,
     mend: 'Write the IP number of this instance.'
   }))
 
-const checkPorts: Check = ({ listen, control }) => listen.port !== 0 && listen.port === control.port && (listen.host === control.host || ANY_HOST.includes(listen.host))
+const checkPorts: Check = ({ listen, control }) => listen.port !== 0 && listen.port === control.port && (listen.host === control.host || WILDCARD_HOSTS.includes(listen.host))
   ? [{ path: ['control', 'port'], problem: `control.port is ${control.port}, which listen already uses.`, mend: 'Give operators a port of their own, which callers cannot reach.' }]
   : []
 
 const checkPeers: Check = ({ peers, gossip }) => [
-  ...findRepeats(peers, peer => peer).map(index => ({ path: ['peers', index], problem: `peers[${index}] is listed twice.`, mend: 'Keep one of the two.' })),
+  ...findRepeatedIndexes(peers, peer => peer).map(index => ({ path: ['peers', index], problem: `peers[${index}] is listed twice.`, mend: 'Keep one of the two.' })),
   ...peers.flatMap((peer, index) => peer === addressOf(gossip)
     ? [{ path: ['peers', index], problem: `peers[${index}] is this instance itself.`, mend: 'List the gossip addresses of other instances.' }]
     : [])
 ]
 
-/** A claim that the log forgets first could be won twice. */
+/** A claim whose record expires from the log first could be won twice. */
 const checkClaims: Check = ({ limits, platform }) => limits.claimKeptMs < platform.logRetentionMs
   ? []
   : [{
@@ -48,8 +48,8 @@
 const checkOperators: Check = ({ operators }) => {
   const digests = operators.flatMap(({ tokenDigests }, operator) => tokenDigests.map((digest, index) => ({ digest, path: ['operators', operator, 'tokenDigests', index] })))
   return [
-    ...findRepeats(operators, ({ name }) => name).map(index => ({ path: ['operators', index, 'name'], problem: `operators[${index}].name is taken by an operator above.`, mend: 'Give all digests of one operator in one entry.' })),
-    ...findRepeats(digests, ({ digest }) => digest).map(index => digests[index]).flatMap(repeat => repeat
+    ...findRepeatedIndexes(operators, ({ name }) => name).map(index => ({ path: ['operators', index, 'name'], problem: `operators[${index}].name is taken by an operator above.`, mend: 'Give all digests of one operator in one entry.' })),
+    ...findRepeatedIndexes(digests, ({ digest }) => digest).map(index => digests[index]).flatMap(repeat => repeat
       ? [{ path: repeat.path, problem: `${formatPath(repeat.path)} is listed twice, so the author of a change would be in doubt.`, mend: 'Give each operator a token of their own.' }]
       : [])
   ]
@@ -70,7 +70,7 @@
 }
 
 const checkMemberKeys: Check = ({ memberKeys }, environment) => [
-  ...findRepeats(memberKeys, ({ id }) => id).map(index => ({ path: ['memberKeys', index, 'id'], problem: `memberKeys[${index}].id is taken by a key above.`, mend: 'Give the new key a new id.' })),
+  ...findRepeatedIndexes(memberKeys, ({ id }) => id).map(index => ({ path: ['memberKeys', index, 'id'], problem: `memberKeys[${index}].id is taken by a key above.`, mend: 'Give the new key a new id.' })),
   ...memberKeys.flatMap((memberKey, index) => checkMemberKey(memberKey, index, environment))
 ]
 
@@ -82,7 +82,7 @@
     ...distances.flatMap(({ between }, index) => between[0] === between[1]
       ? [{ path: ['distances', index, 'between'], problem: `distances[${index}].between names one failure domain twice.`, mend: 'Within a failure domain the distance is 0; leave the entry out.' }]
       : []),
-    ...findRepeats(distances, ({ between }) => [...between].sort().join(' ')).map(index => ({ path: ['distances', index], problem: `distances[${index}] gives a pair that an entry above gives too.`, mend: 'The distance holds both ways; keep one entry.' }))
+    ...findRepeatedIndexes(distances, ({ between }) => [...between].sort().join(' ')).map(index => ({ path: ['distances', index], problem: `distances[${index}] gives a pair that an entry above gives too.`, mend: 'The distance holds both ways; keep one entry.' }))
   ]
 }
 
--- a/packages/foxtaillever-settings/src/router/routerSchema.ts
+++ b/packages/foxtaillever-settings/src/router/routerSchema.ts
@@ -1,31 +1,31 @@
 /**
  * Schema of an entry instance's settings file. Descriptions are shown by
- * editors and in complaints about what is missing.
+ * editors and in diagnostics about missing settings.
  */
 import { z } from 'zod'
 import { Format, formatted } from '../document/formats.js'
 import { LogLevel } from './routerSettings.js'
 
-/** Shorter timeouts are seconds mistaken for milliseconds. */
-const SHORTEST_TIMEOUT_MS = 100
+/** A shorter timeout is most likely in seconds by mistake. */
+const MIN_TIMEOUT_MS = 100
 
-/** A day; nothing here waits longer. */
-const LONGEST_TIMEOUT_MS = 86_400_000
+/** One day; no timeout needs to be longer. */
+const MAX_TIMEOUT_MS = 86_400_000
 
-/** A log that forgets sooner could not carry a configuration through an outage. */
-const SHORTEST_RETENTION_MS = 60_000
+/** With a shorter retention, the log could not preserve a configuration through an outage. */
+const MIN_RETENTION_MS = 60_000
 
-/** Callers send again within this at least. */
-const SHORTEST_CLAIM_MS = 1000
+/** Callers need at least this time to retry. */
+const MIN_CLAIM_KEPT_MS = 1000
 
-/** A chat request of a few tokens fits; smaller limits are megabytes mistaken for bytes. */
-const SMALLEST_BODY_BYTES = 1024
+/** Enough for a chat request of a few tokens; a smaller limit is most likely in megabytes by mistake. */
+const MIN_BODY_BYTES = 1024
 
-/** A body is held in memory while its request waits. */
-const LARGEST_BODY_BYTES = 64 * 1024 * 1024
+/** Bounded, because a body is held in memory while its request waits. */
+const MAX_BODY_BYTES = 64 * 1024 * 1024
 
 export function timeout (what: string): z.ZodNumber {
-  return z.number().int().min(SHORTEST_TIMEOUT_MS).max(LONGEST_TIMEOUT_MS).describe(`${what}, milliseconds.`)
+  return z.number().int().min(MIN_TIMEOUT_MS).max(MAX_TIMEOUT_MS).describe(`${what}, milliseconds.`)
 }
 
 function endpoint (what: string): z.ZodObject<{ host: z.ZodString, port: z.ZodNumber }, 'strict'> {
@@ -38,7 +38,7 @@
 const platform = z.object({
   logAddress: formatted(Format.Address).describe('IP number and port of the append-only log.'),
   listAddress: formatted(Format.Address).describe('IP number and port of the list of instances.'),
-  logRetentionMs: z.number().int().min(SHORTEST_RETENTION_MS).describe('How long the log keeps records, milliseconds.')
+  logRetentionMs: z.number().int().min(MIN_RETENTION_MS).describe('How long the log keeps records, milliseconds.')
 }).strict().describe('Where the platform is.')
 
 const operator = z.object({
@@ -53,12 +53,12 @@
 }).strict()
 
 const limits = z.object({
-  bodyBytes: z.number().int().min(SMALLEST_BODY_BYTES).max(LARGEST_BODY_BYTES).default(4 * 1024 * 1024).describe('Largest body of a request, bytes.'),
+  bodyBytes: z.number().int().min(MIN_BODY_BYTES).max(MAX_BODY_BYTES).default(4 * 1024 * 1024).describe('Largest body of a request, bytes.'),
   headerBytes: z.number().int().min(1024).max(1024 * 1024).default(16 * 1024).describe('Largest headers of a request, bytes.'),
   idleTimeoutMs: timeout('A connection without a request is closed after this; more than the balancer keeps its own open').default(75_000),
   arrivalTimeoutMs: timeout('A request that takes longer to arrive is refused').default(10_000),
   drainTimeoutMs: timeout('How long a leaving instance lets requests in flight go on').default(60_000),
-  claimKeptMs: z.number().int().min(SHORTEST_CLAIM_MS).default(3_600_000).describe('How long the claim of a non-idempotent request is remembered, milliseconds; a caller may send it again within.')
+  claimKeptMs: z.number().int().min(MIN_CLAIM_KEPT_MS).default(3_600_000).describe('How long the claim of a non-idempotent request is remembered, milliseconds; a caller may send it again within.')
 }).strict().describe('Limits on what one caller can hold.')
 
 const distance = z.object({
--- a/packages/foxtaillever-settings/src/router/routerSettings.ts
+++ b/packages/foxtaillever-settings/src/router/routerSettings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of one entry instance: what it must know before it can read the log.
- * Everything that operators change while it runs is configuration instead.
+ * Settings of one entry instance: what it needs before it can read the log.
+ * Everything that operators change at run time is in the configuration instead.
  */
 import type { Secret } from '../secret.js'
 
@@ -12,20 +12,20 @@
 }
 
 export interface Endpoint {
-  /** IP number. */
+  /** IP address. */
   readonly host: string
-  /** 0 lets the system choose. */
+  /** 0 lets the operating system choose. */
   readonly port: number
 }
 
-/** Someone who may use the control port. */
+/** A person who may use the control port. */
 export interface Operator {
   readonly name: string
   /** SHA-256 of each token in force, hexadecimal; two while a token is replaced. */
   readonly tokenDigests: readonly string[]
 }
 
-/** Key by which instances know each other. */
+/** Key by which entry instances authenticate each other. */
 export interface MemberKey {
   readonly id: string
   /** 64 hexadecimal digits. */
@@ -33,9 +33,9 @@
 }
 
 export interface Platform {
-  /** IP number and port of the append-only log. */
+  /** IP address and port of the append-only log. */
   readonly logAddress: string
-  /** IP number and port of the list of instances. */
+  /** IP address and port of the list of instances. */
   readonly listAddress: string
   /** How long the log keeps records. */
   readonly logRetentionMs: number
@@ -48,13 +48,13 @@
   readonly idleTimeoutMs: number
   /** A request whose headers and body take longer to arrive is refused. */
   readonly arrivalTimeoutMs: number
-  /** How long a leaving instance lets requests in flight go on. */
+  /** How long a leaving instance lets requests in flight continue. */
   readonly drainTimeoutMs: number
   /** How long the claim of a non-idempotent request is remembered. */
   readonly claimKeptMs: number
 }
 
-/** One way between two failure domains. */
+/** Network latency between two failure domains, one way. */
 export interface Distance {
   readonly between: readonly [string, string]
   readonly oneWayMs: number
@@ -69,21 +69,21 @@
   readonly control: Endpoint
   /** UDP, between entry instances. */
   readonly gossip: Endpoint
-  /** Gossip addresses of some other entry instances, to find the rest by. */
+  /** Gossip addresses of some other entry instances, which announce the rest. */
   readonly peers: readonly string[]
   readonly platform: Platform
   readonly operators: readonly Operator[]
-  /** The first signs; each is accepted. */
+  /** The first key signs messages; each key is accepted. */
   readonly memberKeys: readonly MemberKey[]
   readonly logLevel: LogLevel
   readonly limits: Limits
   readonly distances: readonly Distance[]
 }
 
-/** One way between two failure domains, milliseconds; 0 within one, undefined when not told. */
-export function distanceBetween (distances: readonly Distance[], one: string, other: string): number | undefined {
-  if (one === other) {
+/** One-way latency between two failure domains, milliseconds; 0 within one, undefined when not configured. */
+export function distanceBetween (distances: readonly Distance[], a: string, b: string): number | undefined {
+  if (a === b) {
     return 0
   }
-  return distances.find(({ between }) => between.includes(one) && between.includes(other))?.oneWayMs
+  return distances.find(({ between }) => between.includes(a) && between.includes(b))?.oneWayMs
 }
--- a/packages/foxtaillever-settings/src/secret.ts
+++ b/packages/foxtaillever-settings/src/secret.ts
@@ -1,13 +1,13 @@
 /**
  * Text that must not reach a log, a dump or an error. Printing or serializing
- * a secret gives a mark in its place; only `reveal` gives the text.
+ * a secret gives a placeholder; only `reveal` returns the text.
  */
 import { inspect } from 'node:util'
 
-const MARK = '[secret]'
+const REDACTED = '[secret]'
 
 export class Secret {
-  // A private field, so that no walk over own properties finds the text.
+  // A private field, so that code which enumerates properties cannot find the text.
   readonly #text: string
 
   private constructor (text: string) {
@@ -23,14 +23,14 @@
   }
 
   toJSON (): string {
-    return MARK
+    return REDACTED
   }
 
   toString (): string {
-    return MARK
+    return REDACTED
   }
 
   [inspect.custom] (): string {
-    return MARK
+    return REDACTED
   }
 }
--- a/packages/foxtaillever/src/commands/configValidate.ts
+++ b/packages/foxtaillever/src/commands/configValidate.ts
@@ -1,5 +1,5 @@
 import { Command, Option } from 'clipanion'
-import { linesOf, loadConfigurationFile, loadRouterSettings } from 'foxtaillever-settings'
+import { formatErrors, loadConfigurationFile, loadRouterSettings } from 'foxtaillever-settings'
 import { ExitCode } from '../exitCode.js'
 import { formatJson } from '../format/formatJson.js'
 
@@ -25,6 +25,6 @@
   }
 
   private async check (file: string): Promise<readonly string[]> {
-    return linesOf(this.router ? await loadRouterSettings(file, this.context.env) : await loadConfigurationFile(file))
+    return formatErrors(this.router ? await loadRouterSettings(file, this.context.env) : await loadConfigurationFile(file))
   }
 }
--- a/packages/foxtaillever/src/publish/loadPublication.ts
+++ b/packages/foxtaillever/src/publish/loadPublication.ts
@@ -2,7 +2,7 @@
  * The configuration that a file would give over the one in force.
  */
 import { Failure, FailureCode, type Configuration } from 'foxtaillever-core'
-import { createConfiguration, linesOf, loadConfigurationFile } from 'foxtaillever-settings'
+import { createConfiguration, formatErrors, loadConfigurationFile } from 'foxtaillever-settings'
 import type { Either } from 'purify-ts'
 
 export type Publishing = (current: Configuration) => Configuration
@@ -11,6 +11,6 @@
 export async function loadPublication (file: string): Promise<Either<Failure, Publishing>> {
   const loaded = await loadConfigurationFile(file)
   return loaded
-    .mapLeft(() => Failure.notRun(FailureCode.BadRequest, linesOf(loaded).join('\n')))
+    .mapLeft(() => Failure.notRun(FailureCode.BadRequest, formatErrors(loaded).join('\n')))
     .map(content => current => createConfiguration(content, current))
 }
