--- a/packages/foxtaillever-fleet/src/configuration/__tests__/pullSystem.test.ts
+++ b/packages/foxtaillever-fleet/src/configuration/__tests__/pullSystem.test.ts
@@ -1,5 +1,5 @@
 import { createPreset, PresetName, RecordKind, type LogRecord } from 'foxtaillever-core'
-import { describe, it, settle, VirtualClock } from 'foxtaillever-testing'
+import { describe, it, flushPromises, VirtualClock } from 'foxtaillever-testing'
 import { Right } from 'purify-ts'
 import type { Peers } from '../../membership/peers.js'
 import { ChangeKind } from '../change.js'
@@ -60,7 +60,7 @@
     const store = storeAfter(1)
     const peer = AheadPeer.create()
     hearAhead(store, peer)
-    await settle()
+    await flushPromises()
     t.is(store.configuration().revision, 2)
     t.deepEqual([peer.changesAsked, peer.wholeAsked], [1, 0])
   })
@@ -69,7 +69,7 @@
     const store = ConfigurationStore.create()
     const peer = AheadPeer.create()
     hearAhead(store, peer)
-    await settle()
+    await flushPromises()
     t.is(store.configuration().revision, 2)
     t.deepEqual([peer.changesAsked, peer.wholeAsked], [0, 1])
   })
@@ -80,7 +80,7 @@
     const store = storeAfter(1)
     const peer = AheadPeer.create(() => store.take(records[1] as LogRecord))
     hearAhead(store, peer)
-    await settle()
+    await flushPromises()
     t.is(store.configuration().revision, 2)
     t.deepEqual([peer.changesAsked, peer.wholeAsked], [1, 0])
   })
--- a/packages/foxtaillever-relay/src/exchange/__tests__/silenceWatch.test.ts
+++ b/packages/foxtaillever-relay/src/exchange/__tests__/silenceWatch.test.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events'
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net'
 import { SystemClock } from 'foxtaillever-core'
-import { describe, holdUpUntil, it } from 'foxtaillever-testing'
+import { describe, blockEventLoopUntil, it } from 'foxtaillever-testing'
 import { SilenceWatch } from '../silenceWatch.js'
 
 const PATIENCE_MS = 20
@@ -34,7 +34,7 @@
       watch.recordActivity()
       resolve()
     }))
-    holdUpUntil(until)
+    blockEventLoopUntil(until)
     await received
     watch.stop()
     t.false(isSilent)
--- a/packages/foxtaillever-relay/src/servers/__tests__/callServer.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/callServer.test.ts
@@ -1,7 +1,7 @@
 import { createServer, type RequestListener, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { SystemClock } from 'foxtaillever-core'
-import { describe, holdUpUntil, it } from 'foxtaillever-testing'
+import { describe, blockEventLoopUntil, it } from 'foxtaillever-testing'
 import { callServer } from '../callServer.js'
 import { ServerConnections } from '../serverConnections.js'
 
@@ -35,7 +35,7 @@
     it('takes the answer that had arrived', async t => {
       const deadline = clock.now() + DEADLINE_MS
       const { server, connections } = await listen((_request, response) => {
-        response.end('known', () => holdUpUntil(deadline + STALL_MS))
+        response.end('known', () => blockEventLoopUntil(deadline + STALL_MS))
       })
       const answer = callServer(connections, call, clock, deadline)
       t.is((await answer).map(({ status }) => status).extract(), 200)
@@ -47,7 +47,7 @@
       const { server, connections } = await listen((_request, response) => { response.end('known') })
       const deadline = clock.now() + DEADLINE_MS
       const answer = callServer(connections, call, clock, deadline)
-      holdUpUntil(deadline + STALL_MS)
+      blockEventLoopUntil(deadline + STALL_MS)
       t.is((await answer).map(({ status }) => status).extract(), 200)
       close(server, connections)
     })
--- a/packages/foxtaillever-testing/src/holdUpUntil.ts
+++ b/packages/foxtaillever-testing/src/blockEventLoopUntil.ts
@@ -1,9 +1,9 @@
-/** Keeps the event loop from everything until the instant has passed, as a process without processor is. */
+/** Blocks the event loop until a time has passed, like a process that gets no processor time. */
 import { SystemClock } from 'foxtaillever-core'
 
 const clock = SystemClock.create()
 
 /** @param instant milliseconds of Unix time. */
-export function holdUpUntil (instant: number): void {
+export function blockEventLoopUntil (instant: number): void {
   while (clock.now() <= instant);
 }
--- a/packages/foxtaillever-testing/src/describe.ts
+++ b/packages/foxtaillever-testing/src/describe.ts
@@ -1,6 +1,6 @@
 /**
- * Nested `describe` blocks for ava, which has none: a block puts its title
- * before the titles of the tests in it. Blocks run at load time, tests later.
+ * Nested `describe` blocks for ava, which has none: a block prefixes the titles of
+ * its tests with its own title. Blocks run at load time, tests later.
  */
 import test, { type ExecutionContext } from 'ava'
 
--- a/packages/foxtaillever-testing/src/index.ts
+++ b/packages/foxtaillever-testing/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the test support. */
+/** Public API of the test support. */
 export * from './describe.js'
-export * from './holdUpUntil.js'
+export * from './blockEventLoopUntil.js'
 export * from './virtualClock.js'
--- a/packages/foxtaillever-testing/src/virtualClock.ts
+++ b/packages/foxtaillever-testing/src/virtualClock.ts
@@ -1,6 +1,7 @@
 /**
- * A clock that a test moves by hand. Tasks run in order of deadline, those of
- * one deadline in order of setting, so a run depends on nothing but its seed.
+ * A clock that a test advances. Tasks run in order of their deadlines, tasks with
+ * the same deadline in the order in which they were scheduled, so a run depends
+ * only on its seed.
  */
 import type { Cancellation, Clock } from 'foxtaillever-core'
 
@@ -30,7 +31,7 @@
     return () => { this.tasks.delete(order) }
   }
 
-  /** Tasks are kept in order of setting, so the first of the earliest is next. */
+  /** The map keeps tasks in scheduling order, so the first task with the earliest deadline is next. */
   private findNext (deadline: number): Task | undefined {
     let next: Task | undefined
     for (const task of this.tasks.values()) {
@@ -41,7 +42,7 @@
     return next
   }
 
-  /** Runs the next task, or nothing when none is due by the deadline. */
+  /** Runs the next task that is due by the deadline; returns false when there is none. */
   private runNext (deadline: number): boolean {
     const next = this.findNext(deadline)
     if (!next) {
@@ -53,11 +54,11 @@
     return true
   }
 
-  /** Moves to the deadline; after each task all settled promises go on. */
+  /** Advances to the deadline and runs due tasks; after each one, continuations of settled promises run. */
   async advanceTo (deadline: number): Promise<void> {
-    await settle()
+    await flushPromises()
     while (this.runNext(deadline)) {
-      await settle()
+      await flushPromises()
     }
     this.time = Math.max(this.time, deadline)
   }
@@ -67,7 +68,7 @@
   }
 }
 
-/** Lets every promise that is settled by now go on. */
-export async function settle (): Promise<void> {
+/** Runs the continuations of all promises that are settled by now. */
+export async function flushPromises (): Promise<void> {
   await new Promise<void>(resolve => setImmediate(resolve))
 }
