--- a/packages/foxtaillever-proof/src/__tests__/platformSoak.test.ts
+++ b/packages/foxtaillever-proof/src/__tests__/platformSoak.test.ts
@@ -7,8 +7,8 @@
   // Processes are killed, paused and restarted while the store and the servers fail. Callers may be
   // refused; nothing may run twice, be cut unnoticed, or be called not run though it has.
   it('keeps its promises in a short run', async t => {
-    const { complaints, outcomes } = await runPlatformSoak({ seed: 1, seconds: 5, entry })
-    t.deepEqual(complaints, [])
+    const { violations, outcomes } = await runPlatformSoak({ seed: 1, seconds: 5, entry })
+    t.deepEqual(violations, [])
     t.true((outcomes[200] ?? 0) > 0)
   })
 })
--- a/packages/foxtaillever-proof/src/platformSoak.ts
+++ b/packages/foxtaillever-proof/src/platformSoak.ts
@@ -4,20 +4,20 @@
 
 class PlatformSoakCommand extends Command {
   static override paths = [Command.Default]
-  static override usage = Command.Usage({ description: 'Run the real entry process on loopback over stand-ins of the users\' platform; kill, pause and restart it, and fault store and servers at random.' })
+  static override usage = Command.Usage({ description: 'Run the real entry process on loopback against stand-ins of the users\' platform; kill, pause and restart it, and inject faults into store and servers at random.' })
 
   seed = Option.String('--seed', '1', { description: 'First seed of load and faults.' })
-  seeds = Option.String('--seeds', '1', { description: 'How many seeds, one after the other.' })
-  seconds = Option.String('--seconds', '20', { description: 'How long load and faults of one seed go on.' })
+  seeds = Option.String('--seeds', '1', { description: 'How many seeds to run, one after the other.' })
+  seconds = Option.String('--seconds', '20', { description: 'How long load and faults of one seed last.' })
   entry = Option.String('--entry', 'target/entry.cjs', { description: 'The program to run.' })
 
   async execute (): Promise<number> {
     let broken = 0
     for (let seed = Number(this.seed); seed < Number(this.seed) + Number(this.seeds); seed += 1) {
-      const { complaints, outcomes, faults, seen } = await runPlatformSoak({ seed, seconds: Number(this.seconds), entry: this.entry })
-      broken += complaints.length
-      console.log(`seed ${seed}: ${complaints.length} promises broken, outcomes ${JSON.stringify(outcomes)}, faults ${JSON.stringify(faults)}, seen ${JSON.stringify(seen)}`)
-      complaints.forEach(complaint => console.log(`  ${complaint}`))
+      const { violations, outcomes, faults, seen } = await runPlatformSoak({ seed, seconds: Number(this.seconds), entry: this.entry })
+      broken += violations.length
+      console.log(`seed ${seed}: ${violations.length} promises broken, outcomes ${JSON.stringify(outcomes)}, faults ${JSON.stringify(faults)}, seen ${JSON.stringify(seen)}`)
+      violations.forEach(violation => console.log(`  ${violation}`))
     }
     return broken > 0 ? 1 : 0
   }
--- a/packages/foxtaillever-proof/src/platformSoak/disturbances.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/disturbances.ts
@@ -1,22 +1,22 @@
 /**
- * When the fleet was out of touch during a soak. While the store is out of
- * reach or an instance stands still, nobody can know what changed; the
- * promises on how soon a change takes hold count from when all was well again.
+ * Periods of a soak in which instances could not learn of changes, because the
+ * store was unreachable or an instance was suspended. The promises on how soon a
+ * change takes effect count from the end of such a period.
  */
 
-/** After a disturbance instances may still act on what they knew before, milliseconds. */
-const AFTERMATH_MS = 3000
+/** How long after a disturbance instances may still act on outdated knowledge, milliseconds. */
+const RECOVERY_MS = 3000
 
 interface Disturbance {
-  /** Who was out of touch; undefined for all. */
-  readonly subject: string | undefined
+  /** Address of the disturbed instance; undefined for all instances. */
+  readonly address: string | undefined
   readonly from: number
   /** Milliseconds of Unix time; Infinity while it lasts. */
   until: number
 }
 
 export class Disturbances {
-  private readonly known: Disturbance[] = []
+  private readonly disturbances: Disturbance[] = []
 
   private constructor (private readonly now: () => number) {}
 
@@ -24,17 +24,17 @@
     return new Disturbances(now)
   }
 
-  async during (disturb: () => Promise<void>, subject?: string): Promise<void> {
-    const disturbance: Disturbance = { subject, from: this.now(), until: Infinity }
-    this.known.push(disturbance)
+  async recordDuring (disturb: () => Promise<void>, address?: string): Promise<void> {
+    const disturbance: Disturbance = { address, from: this.now(), until: Infinity }
+    this.disturbances.push(disturbance)
     await disturb()
-    disturbance.until = this.now() + AFTERMATH_MS
+    disturbance.until = this.now() + RECOVERY_MS
   }
 
-  /** Whether all was well the whole time, milliseconds of Unix time; with a subject, whether all was well with that one. */
-  wasCalm (from: number, until: number, subject?: string): boolean {
-    return this.known
-      .filter(disturbance => subject === undefined || (disturbance.subject ?? subject) === subject)
+  /** Whether there was no disturbance from `from` to `until`, milliseconds of Unix time; with an address, whether that instance had none. */
+  wasUndisturbed (from: number, until: number, address?: string): boolean {
+    return this.disturbances
+      .filter(disturbance => address === undefined || (disturbance.address ?? address) === address)
       .every(disturbance => disturbance.until < from || disturbance.from > until)
   }
 }
--- a/packages/foxtaillever-proof/src/platformSoak/platformLoad.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/platformLoad.ts
@@ -1,35 +1,35 @@
-/** Requests of a soak, and what may be said against each once all is quiet. */
+/** Sends the requests of a soak and checks the outcome of each after the soak. */
 import type { Random } from 'foxtaillever-core'
 import type { CallerReply } from 'foxtaillever-platform/__fixtures__/caller'
 import { sentRequestOf, type SentRequest } from 'foxtaillever-platform/__fixtures__/statementOracle'
 import { Path, promptHeaders, wholeStream } from 'foxtaillever-platform/__fixtures__/relayFleet'
 import type { Disturbances } from './disturbances.js'
-import type { SoakedFleet } from './soakedFleet.js'
-import { LASTING_KEYS } from './soakOperator.js'
+import type { SoakFleet } from './soakFleet.js'
+import { PERMANENT_KEYS } from './soakOperator.js'
 
-const EVENTS = 20
+const EVENTS_PER_STREAM = 20
 
-/** How long callers wait, milliseconds. */
-const PATIENCE_MS = 4000
+/** How long callers wait for an answer, milliseconds. */
+const CALLER_TIMEOUT_MS = 4000
 
-/** These promise that the request has not run and never will. */
-const notRun = new Set([408, 421, 429, 503])
+/** Statuses that promise that the request has not run and never will. */
+const notRunStatuses = new Set([408, 421, 429, 503])
 
 const paths = [Path.Stream, Path.Once, Path.Repeatable] as const
 
-/** A configuration is in force everywhere after this, milliseconds. */
-const APPLIED_MS = 2000
+/** A configuration is in force at every instance after this time, milliseconds. */
+const MAX_CONFIGURATION_DELAY_MS = 2000
 
-/** Part of the callers that leave in the middle of their answer. */
-const LEAVING = 0.1
+/** Share of callers that disconnect in the middle of their answer. */
+const DISCONNECT_SHARE = 0.1
 
-/** When they leave, milliseconds. */
-const LEAVE_AFTER_MS = 60
+/** How long after sending they disconnect, milliseconds. */
+const DISCONNECT_AFTER_MS = 60
 
-/** Part of the requests with a key that comes and goes. */
-const PASSING_KEYS = 0.3
+/** Share of requests with a temporary key. */
+const TEMPORARY_KEY_SHARE = 0.3
 
-interface Sent {
+interface CompletedRequest {
   readonly id: string
   readonly path: Path
   readonly key: string
@@ -42,79 +42,79 @@
 }
 
 export class PlatformLoad {
-  private readonly sent: Sent[] = []
-  private number = 0
+  private readonly completed: CompletedRequest[] = []
+  private nextNumber = 0
 
-  private constructor (private readonly fleet: SoakedFleet, private readonly random: Random, private readonly disturbances: Disturbances) {}
+  private constructor (private readonly fleet: SoakFleet, private readonly random: Random, private readonly disturbances: Disturbances) {}
 
-  static create (fleet: SoakedFleet, random: Random, disturbances: Disturbances): PlatformLoad {
+  static create (fleet: SoakFleet, random: Random, disturbances: Disturbances): PlatformLoad {
     return new PlatformLoad(fleet, random, disturbances)
   }
 
   async send (): Promise<void> {
     const { fleet, random } = this
-    const id = `q${this.number++}`
+    const id = `q${this.nextNumber++}`
     const path = paths[random.below(paths.length)] as Path
     const instance = random.below(fleet.instances.length)
     const { address } = fleet.instances[instance] ?? { address: '' }
-    const headers = path === Path.Stream ? promptHeaders(id, EVENTS) : {}
+    const headers = path === Path.Stream ? promptHeaders(id, EVENTS_PER_STREAM) : {}
     const key = this.drawKey()
     const at = fleet.clock.now()
-    const leaveAfterMs = random.next() < LEAVING ? LEAVE_AFTER_MS : undefined
-    const reply = await fleet.caller.send({ address, id, path: `${path}x`, key, headers, body: 'a body', patienceMs: PATIENCE_MS, disconnectAfterMs: leaveAfterMs })
-    this.sent.push({ id, path, key, instance, at, answeredAt: fleet.clock.now(), reply })
+    const disconnectAfterMs = random.next() < DISCONNECT_SHARE ? DISCONNECT_AFTER_MS : undefined
+    const reply = await fleet.caller.send({ address, id, path: `${path}x`, key, headers, body: 'a body', patienceMs: CALLER_TIMEOUT_MS, disconnectAfterMs })
+    this.completed.push({ id, path, key, instance, at, answeredAt: fleet.clock.now(), reply })
   }
 
-  /** One that is in force for good, or one of the last three that came and went. */
+  /** Draws a permanent key, or one of the last three temporary keys. */
   private drawKey (): string {
     const { random, fleet } = this
-    const lasting = Object.keys(LASTING_KEYS)
-    const passing = fleet.operator.terms.slice(-3).map(({ key }) => key)
-    const keys = random.next() < PASSING_KEYS ? passing : lasting
+    const permanent = Object.keys(PERMANENT_KEYS)
+    const temporary = fleet.operator.temporaryKeys.slice(-3).map(({ key }) => key)
+    const keys = random.next() < TEMPORARY_KEY_SHARE ? temporary : permanent
     return keys[random.below(keys.length)] ?? ''
   }
 
-  /** All of them, for oracles. */
+  /** All completed requests, for oracles. */
   get requests (): readonly SentRequest[] {
-    return this.sent.map(({ at: sentAt, reply: { headers }, ...sent }) => sentRequestOf({ ...sent, sentAt, headers }))
+    return this.completed.map(({ at: sentAt, reply: { headers }, ...sent }) => sentRequestOf({ ...sent, sentAt, headers }))
   }
 
-  /** Ends of requests by status; 0 for those without an answer. */
+  /** Number of requests by status; 0 stands for those without an answer. */
   get outcomes (): Readonly<Record<string, number>> {
     const outcomes: Record<string, number> = {}
-    this.sent.forEach(({ reply }) => { outcomes[reply.status] = (outcomes[reply.status] ?? 0) + 1 })
+    this.completed.forEach(({ reply }) => { outcomes[reply.status] = (outcomes[reply.status] ?? 0) + 1 })
     return outcomes
   }
 
   /** Broken promises, each as a sentence. */
-  complaints (): string[] {
-    return this.sent.flatMap(sent => this.check(sent))
+  violations (): string[] {
+    return this.completed.flatMap(sent => this.check(sent))
   }
 
-  /** Whether the key's being in force, or not, was known everywhere when the request came. */
-  private isKeyKnown ({ at, key }: Sent, isInForce: boolean): boolean {
-    const term = this.fleet.operator.terms.find(term => term.key === key)
-    const { from, until } = term ?? { from: -Infinity, until: Infinity }
+  /** Whether every instance knew, when the request came, that the key was in force (or, with `isInForce` false, that it no longer was). */
+  private isKeyStateKnown ({ at, key }: CompletedRequest, isInForce: boolean): boolean {
+    const temporaryKey = this.fleet.operator.temporaryKeys.find(candidate => candidate.key === key)
+    const { from, until } = temporaryKey ?? { from: -Infinity, until: Infinity }
     return isInForce
-      ? from + APPLIED_MS <= at && until > at + PATIENCE_MS && (term === undefined || this.disturbances.wasCalm(from, at))
-      : until + APPLIED_MS <= at && this.disturbances.wasCalm(until, at)
+      ? from + MAX_CONFIGURATION_DELAY_MS <= at && until > at + CALLER_TIMEOUT_MS && (temporaryKey === undefined || this.disturbances.wasUndisturbed(from, at))
+      : until + MAX_CONFIGURATION_DELAY_MS <= at && this.disturbances.wasUndisturbed(until, at)
   }
 
-  private check (sent: Sent): string[] {
+  private check (sent: CompletedRequest): string[] {
     const { id, path, reply: { status, isWhole, body, isStamped } } = sent
     const runs = this.fleet.platform.servers.reduce((sum, server) => sum + server.runsOf(id), 0)
-    const whole = wholeStream(id, EVENTS)
+    const expectedStream = wholeStream(id, EVENTS_PER_STREAM)
     const isStream = path === Path.Stream
-    const isRight = isStream ? body === whole : body.startsWith(`done ${id} `)
-    const claims: ReadonlyArray<readonly [string, boolean]> = [
+    const isExpectedBody = isStream ? body === expectedStream : body.startsWith(`done ${id} `)
+    const promises: ReadonlyArray<readonly [string, boolean]> = [
       ['ran more than once', path !== Path.Once || runs <= 1],
-      ['was told that it did not run, and has', !notRun.has(status) || runs === 0],
-      ['got a whole answer with wrong bytes', status !== 200 || !isWhole || isRight],
+      ['was reported as not run, but ran', !notRunStatuses.has(status) || runs === 0],
+      ['got a complete answer with wrong bytes', status !== 200 || !isWhole || isExpectedBody],
       ['got a success without the server\'s stamp', status !== 200 || isStamped],
-      ['got events out of order or cut', !isStream || status !== 200 || whole.startsWith(body.slice(0, body.lastIndexOf('\n\n') + 2))],
-      ['was denied though it is allowed', ![400, 401, 403, 404].includes(status) || !this.isKeyKnown(sent, true)],
-      ['ran though its key was taken away', runs === 0 || !this.isKeyKnown(sent, false)]
+      ['got events out of order or cut off', !isStream || status !== 200 || expectedStream.startsWith(body.slice(0, body.lastIndexOf('\n\n') + 2))],
+      ['was denied though its key is in force', ![400, 401, 403, 404].includes(status) || !this.isKeyStateKnown(sent, true)],
+      ['ran though its key was no longer in force', runs === 0 || !this.isKeyStateKnown(sent, false)]
     ]
-    return claims.filter(([, holds]) => !holds).map(([claim]) => `${id} (${path}) ${claim}: status ${status}, ${runs} runs`)
+    return promises.filter(([, holds]) => !holds).map(([claim]) => `${id} (${path}) ${claim}: status ${status}, ${runs} runs`)
   }
 }
--- a/packages/foxtaillever-proof/src/platformSoak/soakedFleet.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/soakFleet.ts
@@ -1,4 +1,4 @@
-/** Real entry processes on loopback over stand-ins of the users' platform. */
+/** Real entry processes on loopback against stand-ins of the users' platform. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -11,23 +11,23 @@
 import { Child } from '../soak/child.js'
 import { SoakOperator } from './soakOperator.js'
 
-/** Bounds of the settings, short, so that a soak of seconds meets them. */
-const BOUNDS = { retry_budget_ratio: 0.2, retry_budget_slack: 50, budget_window_s: 10, grace_s: 8, lease_ms: 500, version_ms: 8000 }
+/** Time bounds of the settings, so short that a soak of seconds reaches them. */
+const SHORT_BOUNDS = { retry_budget_ratio: 0.2, retry_budget_slack: 50, budget_window_s: 10, grace_s: 8, lease_ms: 500, version_ms: 8000 }
 
 const HEARTBEAT_MS = 300
 
-export interface SoakedInstance {
+export interface SoakInstance {
   readonly child: Child
   readonly address: string
-  readonly door: StoreServer
+  readonly storeServer: StoreServer
 }
 
-export class SoakedFleet {
+export class SoakFleet {
   readonly clock = SystemClock.create()
   readonly caller = Caller.create()
   readonly platform = PlatformDeployment.create({ clock: this.clock, host: nextHost(), heartbeatMs: HEARTBEAT_MS, hasLinks: true })
   readonly operator = SoakOperator.create(this.clock, this.platform)
-  readonly instances: SoakedInstance[] = []
+  readonly instances: SoakInstance[] = []
   private readonly folder = mkdtempSync(join(tmpdir(), 'foxtaillever-soak-'))
   private peerPort = 0
   private probes = 0
@@ -35,8 +35,8 @@
   private constructor (private readonly entry: string) {}
 
   /** @param entry the program to run. */
-  static async start (entry: string): Promise<SoakedFleet> {
-    const fleet = new SoakedFleet(entry)
+  static async start (entry: string): Promise<SoakFleet> {
+    const fleet = new SoakFleet(entry)
     fleet.operator.start()
     for (const zone of ZONES) {
       await fleet.platform.addEngine(`engine-${zone}`, ENGINES, zone, { [MODEL]: 1 })
@@ -44,54 +44,54 @@
     }
     fleet.peerPort = await freePort(nextHost())
     for (const zone of ZONES) {
-      await fleet.add(zone)
+      await fleet.addInstance(zone)
     }
     await fleet.waitUntilServing()
     return fleet
   }
 
-  /** Every instance answers its own requests. */
+  /** Waits until every instance answers requests. */
   async waitUntilServing (): Promise<void> {
     for (const { address } of this.instances) {
       await waitFor(`${address} serves`, async () => (await this.caller.send({ address, id: `probe-${this.probes++}`, path: '/repeatable/x', key: 'key-acme', method: 'GET' })).status === 200)
     }
   }
 
-  /** Every instance acts by the newest configuration, whatever the store went through. */
+  /** Waits until every instance applies the newest configuration, whatever faults the store had. */
   async waitUntilConfigured (): Promise<void> {
-    const key = this.operator.terms.at(-1)?.key ?? ''
+    const key = this.operator.temporaryKeys.at(-1)?.key ?? ''
     for (const { address } of this.instances) {
       await waitFor(`${address} has the newest configuration`, async () => (await this.caller.send({ address, id: `probe-${this.probes++}`, path: '/repeatable/x', key, method: 'GET' })).status === 200)
     }
   }
 
-  /** Every engine has nothing to do and, unless it leaves, the newest weights. */
+  /** Waits until every engine is idle and, unless it is leaving, has the newest weights. */
   async waitUntilSettled (): Promise<void> {
-    await waitFor('engines have the newest weights and nothing to do', () => this.unsettled().length === 0).catch((error: Error) => {
-      throw new Error(`${error.message} ${JSON.stringify(this.unsettled())}`)
+    await waitFor('engines have the newest weights and nothing to do', () => this.unsettledEngines().length === 0).catch((error: Error) => {
+      throw new Error(`${error.message} ${JSON.stringify(this.unsettledEngines())}`)
     })
   }
 
-  /** Engines that run something or lack the newest weights; one that leaves gets no orders. */
-  private unsettled (): object[] {
+  /** Engines that run requests or lack the newest weights; a leaving engine gets no orders. */
+  private unsettledEngines (): object[] {
     return this.platform.listedEngines()
       .map(({ server: { id, isLeaving }, runner: { engine, orders } }) => ({ id, isLeaving, weights: orders.versions.get(MODEL), wanted: this.operator.weights, active: engine.active, queued: engine.queued }))
       .filter(({ isLeaving, weights, wanted, active, queued }) => (!isLeaving && weights !== wanted) || active + queued > 0)
   }
 
-  private async add (zone: string): Promise<void> {
+  private async addInstance (zone: string): Promise<void> {
     const ip = nextHost()
-    const { storeServer: door, address: store } = await this.platform.openStore()
+    const { storeServer, address: store } = await this.platform.openStore()
     const [front, ready] = [`${ip}:${await freePort(ip)}`, `${ip}:${await freePort(ip)}`]
     const name = `instance-${this.instances.length + 1}`
     const path = join(this.folder, `${name}.json`)
-    writeFileSync(path, JSON.stringify({ node: name, zone, ip, listen: { front, ready }, internal_ports: [this.peerPort, this.peerPort], seeds: [], heartbeat_ms: HEARTBEAT_MS, bounds: BOUNDS, platform: { address: store } }))
+    writeFileSync(path, JSON.stringify({ node: name, zone, ip, listen: { front, ready }, internal_ports: [this.peerPort, this.peerPort], seeds: [], heartbeat_ms: HEARTBEAT_MS, bounds: SHORT_BOUNDS, platform: { address: store } }))
     const child = Child.create({ name, arguments: [this.entry], environment: { FOXTAILLEVER_BOOT: path }, onLine: () => {} })
-    this.instances.push({ child, address: front, door })
+    this.instances.push({ child, address: front, storeServer })
     child.start()
   }
 
-  async end (): Promise<void> {
+  async close (): Promise<void> {
     this.caller.close()
     await Promise.all(this.instances.map(async ({ child }) => await child.kill()))
     this.platform.close()
--- a/packages/foxtaillever-proof/src/platformSoak/soakOperator.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/soakOperator.ts
@@ -1,28 +1,28 @@
-/** The operator of a soak: writes configurations with keys that come and go, names weights, drains servers. */
+/** The operator of a soak: writes configurations with temporary keys, names weights, drains servers. */
 import type { Clock } from 'foxtaillever-core'
 import { createConfiguration, MODEL, services } from 'foxtaillever-platform/__fixtures__/relayFleet'
 import type { BackendServer, PlatformDeployment } from 'foxtaillever-standins'
 
-/** Where the store of cached prompt levels is; only engines go there. */
+/** Address of the store of cached prompt levels; only engines connect to it. */
 const CACHE_STORE = '127.0.0.1:9'
 
-/** Room of the store of cached prompt levels, tokens: a few prompts, so that it drops some. */
+/** Capacity of the store of cached prompt levels, tokens: a few prompts, so that it evicts some. */
 const CACHE_STORE_TOKENS = 20_000
 
-/** Keys that are in force for good, by the account that holds them. */
-export const LASTING_KEYS: Readonly<Record<string, string>> = { 'key-acme': 'acme', 'key-walled': 'walled' }
+/** Keys that stay in force for the whole soak, and the account of each. */
+export const PERMANENT_KEYS: Readonly<Record<string, string>> = { 'key-acme': 'acme', 'key-walled': 'walled' }
 
 /** The account that shares no cached prompt level with others. */
-export const WALLED = 'walled'
+export const ISOLATED_ACCOUNT = 'walled'
 
-/** A key's time, milliseconds of Unix time. */
-export interface KeyTerm {
+/** A key of one configuration, and when it was in force, milliseconds of Unix time. */
+export interface TemporaryKey {
   readonly key: string
   readonly from: number
   until: number
 }
 
-/** A server that was told to leave, and when. */
+/** A server that began to leave, and when. */
 export interface Drain {
   readonly server: BackendServer
   readonly id: string
@@ -39,10 +39,10 @@
 
 export class SoakOperator {
   readonly rates: StatedRate[] = []
-  /** How often a server was made to ask for rest. */
-  rests = 0
-  /** Keys that came with one configuration and went with the next. */
-  readonly terms: KeyTerm[] = []
+  /** How often a server was made to state a Retry-After. */
+  backoffCount = 0
+  /** Keys that were added by one configuration and removed by the next. */
+  readonly temporaryKeys: TemporaryKey[] = []
   readonly drains: Drain[] = []
   weights = 1
   private revision = 0
@@ -53,8 +53,8 @@
     return new SoakOperator(clock, platform)
   }
 
-  /** The server states a rate until it is told another; undefined for none. */
-  limit (server: BackendServer, perSecond: number | undefined): void {
+  /** The server states this limit until the next call; undefined for no limit. */
+  stateLimit (server: BackendServer, perSecond: number | undefined): void {
     const now = this.clock.now()
     this.rates.filter(rate => rate.server === server && rate.until === Infinity).forEach(rate => { rate.until = now })
     server.statedLimit = perSecond === undefined ? undefined : String(perSecond)
@@ -63,10 +63,10 @@
     }
   }
 
-  /** The server turns all requests away and asks for so much rest, seconds; undefined: it is well again. */
-  rest (server: BackendServer, seconds: number | undefined): void {
+  /** The server refuses all requests with this Retry-After, seconds; undefined: it accepts requests again. */
+  setRetryAfter (server: BackendServer, seconds: number | undefined): void {
     server.retryAfter = seconds === undefined ? undefined : String(seconds)
-    this.rests += seconds === undefined ? 0 : 1
+    this.backoffCount += seconds === undefined ? 0 : 1
   }
 
   start (): void {
@@ -75,20 +75,20 @@
     this.configure()
   }
 
-  /** The next configuration, with a key of its own in place of the last one's. */
+  /** Writes the next configuration, with a new temporary key in place of the previous one. */
   configure (): void {
     this.revision += 1
     const key = `key-${this.revision}`
-    const last = this.terms.at(-1)
+    const previousKey = this.temporaryKeys.at(-1)
     this.platform.configure(createConfiguration(this.revision, {
       services: [...services, { name: 'levels', kv_store_addr: CACHE_STORE, zone: 'zone-a', kv_capacity_tokens: CACHE_STORE_TOKENS }],
-      tenants: [{ name: 'acme', api_keys: ['key-acme', key] }, { name: WALLED, api_keys: ['key-walled'], isolated: true }]
+      tenants: [{ name: 'acme', api_keys: ['key-acme', key] }, { name: ISOLATED_ACCOUNT, api_keys: ['key-walled'], isolated: true }]
     }))
     const now = this.clock.now()
-    if (last) {
-      last.until = now
+    if (previousKey) {
+      previousKey.until = now
     }
-    this.terms.push({ key, from: now, until: Infinity })
+    this.temporaryKeys.push({ key, from: now, until: Infinity })
   }
 
   nameWeights (): void {
