--- a/packages/foxtaillever-proof/src/platformSoak/platformFaults.ts
+++ b/packages/foxtaillever-proof/src/platformSoak/platformFaults.ts
@@ -100,9 +100,9 @@
   'pause an instance': async context => {
     const { child, address } = drawInstance(context)
     await context.outages.recordDuring(async () => await context.disturbances.recordDuring(async () => {
-      child.stop()
+      child.suspend()
       await waitRandomly(context, MAX_PAUSE_MS)
-      child.continue()
+      child.resume()
     }), address)
   },
   'stop an instance in order': async context => {
--- a/packages/foxtaillever-proof/src/soak.ts
+++ b/packages/foxtaillever-proof/src/soak.ts
@@ -7,8 +7,8 @@
   static override usage = Command.Usage({ description: 'Run real processes on loopback under load; kill, pause and restart them at random.' })
 
   seed = Option.String('--seed', '1', { description: 'Seed of load and faults.' })
-  seconds = Option.String('--seconds', '60', { description: 'How long load and faults go on.' })
-  rate = Option.String('--requests-per-second', '60', { description: 'Arrivals a second.' })
+  seconds = Option.String('--seconds', '60', { description: 'How long load and faults last.' })
+  rate = Option.String('--requests-per-second', '60', { description: 'Requests that arrive per second.' })
 
   async execute (): Promise<number> {
     const { oracle, faults } = await runSoak({
--- a/packages/foxtaillever-proof/src/soak/child.ts
+++ b/packages/foxtaillever-proof/src/soak/child.ts
@@ -1,6 +1,6 @@
 /**
- * One process of the soak: started, killed, stopped, continued and started
- * again by its own id. Only the test rig does this; the product starts none.
+ * One process of the soak, which can be started, killed, suspended, resumed and
+ * restarted by its process id. Only tests do this; the product starts no processes.
  */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { createInterface } from 'node:readline'
@@ -9,15 +9,15 @@
   readonly name: string
   readonly arguments: readonly string[]
   readonly environment: Readonly<Record<string, string>>
-  /** Hears each line of its standard output. */
+  /** Called with each line of the process's standard output. */
   readonly onLine: (line: string) => void
 }
 
 export class Child {
   private process: ChildProcess | undefined
-  isStopped = false
-  /** Standard error of the present process, its end. */
-  complaint = ''
+  isSuspended = false
+  /** The last 2000 characters of standard error, across restarts. */
+  stderrTail = ''
 
   private constructor (readonly options: ChildOptions) {}
 
@@ -35,9 +35,9 @@
     }
     const child = spawn(process.execPath, [...this.options.arguments], { stdio: ['ignore', 'pipe', 'pipe'], env: { ...process.env, ...this.options.environment } })
     this.process = child
-    this.isStopped = false
+    this.isSuspended = false
     createInterface({ input: child.stdout }).on('line', this.options.onLine)
-    child.stderr.on('data', (chunk: Buffer) => { this.complaint = (this.complaint + chunk.toString()).slice(-2000) })
+    child.stderr.on('data', (chunk: Buffer) => { this.stderrTail = (this.stderrTail + chunk.toString()).slice(-2000) })
     child.once('exit', () => {
       if (this.process === child) {
         this.process = undefined
@@ -45,36 +45,36 @@
     })
   }
 
-  /** Ends it without a word, as a lost instance does. */
+  /** Kills the process at once, like the crash of an instance. */
   async kill (): Promise<void> {
-    await this.end('SIGKILL')
+    await this.endBySignal('SIGKILL')
   }
 
-  /** Asks it to end; returns its exit code. */
+  /** Stops the process gracefully; returns its exit code. */
   async terminate (): Promise<number | null> {
-    return await this.end('SIGTERM')
+    return await this.endBySignal('SIGTERM')
   }
 
-  private async end (signal: NodeJS.Signals): Promise<number | null> {
+  private async endBySignal (signal: NodeJS.Signals): Promise<number | null> {
     const child = this.process
     if (!child) {
       return 0
     }
     const ended = new Promise<number | null>(resolve => child.once('exit', code => resolve(code)))
     child.kill(signal)
-    if (this.isStopped) {
+    if (this.isSuspended) {
       child.kill('SIGCONT')
-      this.isStopped = false
+      this.isSuspended = false
     }
     return await ended
   }
 
-  stop (): void {
-    this.isStopped = this.process?.kill('SIGSTOP') === true
+  suspend (): void {
+    this.isSuspended = this.process?.kill('SIGSTOP') === true
   }
 
-  continue (): void {
+  resume (): void {
     this.process?.kill('SIGCONT')
-    this.isStopped = false
+    this.isSuspended = false
   }
 }
--- a/packages/foxtaillever-proof/src/soak/soakDeployment.ts
+++ b/packages/foxtaillever-proof/src/soak/soakDeployment.ts
@@ -1,7 +1,7 @@
 /**
- * The soak's processes on loopback: platform, engines, entry instances. Ports
- * are chosen by the system once and kept, so that a restarted process comes
- * back where its callers look for it.
+ * The soak's processes on loopback: platform, engines, entry instances. The
+ * operating system chooses each port once; a restarted process keeps its port,
+ * so that its callers find it.
  */
 import { createHash, randomBytes } from 'node:crypto'
 import { mkdtemp, rm, writeFile } from 'node:fs/promises'
@@ -19,13 +19,13 @@
 export const ENGINES = 3
 
 /** API keys by account. */
-export const accounts: Readonly<Record<string, string>> = { cooperative: 'soak-key-cooperative', granja: 'soak-key-granja' }
+export const apiKeysByAccount: Readonly<Record<string, string>> = { cooperative: 'soak-key-cooperative', granja: 'soak-key-granja' }
 
 const RETENTION_MS = 3_600_000
-const READY_MS = 15_000
-const LOOK_MS = 50
+const READY_TIMEOUT_MS = 15_000
+const POLL_INTERVAL_MS = 50
 
-export interface Served {
+export interface ServedProcess {
   readonly child: Child
   readonly address: string
 }
@@ -47,10 +47,10 @@
 }
 
 export class SoakDeployment {
-  readonly entries: Array<Served & { readonly control: string }> = []
-  readonly engines: Served[] = []
-  log!: Served
-  private list!: Served
+  readonly entries: Array<ServedProcess & { readonly control: string }> = []
+  readonly engines: ServedProcess[] = []
+  log!: ServedProcess
+  private list!: ServedProcess
   private folder = ''
   private readonly children: Child[] = []
   private readonly clock = SystemClock.create()
@@ -63,7 +63,7 @@
     try {
       await deployment.start()
     } catch (error) {
-      await deployment.end()
+      await deployment.close()
       throw error
     }
     return deployment
@@ -72,11 +72,11 @@
   private async start (): Promise<void> {
     await this.startPlatform()
     await this.startEngines()
-    await this.publish()
+    await this.publishConfiguration()
     await this.startEntries()
   }
 
-  private async startStandin (name: string, ...options: string[]): Promise<Served> {
+  private async startStandin (name: string, ...options: string[]): Promise<ServedProcess> {
     const port = await choosePort()
     const child = Child.create({ name, arguments: [moduleOf('./main.js'), name, '--port', String(port), ...options], environment: {}, onLine: () => {} })
     this.launch(child)
@@ -116,12 +116,12 @@
   async listEngine (index: number, state: ListedState): Promise<void> {
     const name = `engine-${index}`
     const body = JSON.stringify({ name, kind: ListedKind.BackendServer, address: this.engines[index]?.address ?? '', failureDomain: 'recife', state })
-    await this.tell(this.list.address, 'PUT', '/instances', body)
+    await this.sendJson(this.list.address, 'PUT', '/instances', body)
   }
 
-  private async publish (): Promise<void> {
+  private async publishConfiguration (): Promise<void> {
     const changes: Change[] = [
-      ...Object.entries(accounts).map(([name, key]): Change => ({
+      ...Object.entries(apiKeysByAccount).map(([name, key]): Change => ({
         kind: ChangeKind.PutAccount,
         account: { name, keyDigests: [digest(key)], weight: 1, priority: PriorityClass.Standard, tokensPerSecond: 1_000_000, concurrentRequests: 1000 }
       })),
@@ -145,7 +145,7 @@
       }))
     ]
     const record = { id: 'soak-configuration', kind: RecordKind.Configuration, writtenAt: Date.now(), body: { base: 0, author: 'soak', changes } }
-    await this.tell(this.log.address, 'POST', '/log', JSON.stringify(record))
+    await this.sendJson(this.log.address, 'POST', '/log', JSON.stringify(record))
   }
 
   private async startEntries (): Promise<void> {
@@ -153,7 +153,7 @@
     const memberKey = randomBytes(32).toString('hex')
     for (const [index, [listen, control, gossip]] of ports.entries()) {
       const file = join(this.folder, `entry-${index}.jsonc`)
-      const peers = ports.map(([, , other]) => `127.0.0.1:${other}`).filter((_, other) => other !== index)
+      const peers = ports.map(([, , gossipPort]) => `127.0.0.1:${gossipPort}`).filter((_, peerIndex) => peerIndex !== index)
       await writeFile(file, JSON.stringify({
         name: `entry-${index}`,
         failureDomain: 'recife',
@@ -175,22 +175,22 @@
     await Promise.all(this.entries.map(async ({ address }) => await this.waitFor(`${address}/readyz`)))
   }
 
-  /** Switches faults of a stand-in; one that cannot be reached has worse ones. */
-  async setFaults (served: Served, faults: Readonly<Record<string, unknown>>): Promise<void> {
-    await this.tell(served.address, 'POST', '/faults', JSON.stringify(faults))
+  /** Sets faults of a stand-in; an unreachable stand-in is skipped, since it already has a worse fault. */
+  async setFaults (served: ServedProcess, faults: Readonly<Record<string, unknown>>): Promise<void> {
+    await this.sendJson(served.address, 'POST', '/faults', JSON.stringify(faults))
   }
 
-  private async tell (address: string, method: 'PUT' | 'POST', path: string, body: string): Promise<void> {
+  private async sendJson (address: string, method: 'PUT' | 'POST', path: string, body: string): Promise<void> {
     try {
       const answer = await request(`http://${address}${path}`, { method, body, headers: { 'content-type': 'application/json' }, headersTimeout: 2000 })
       await answer.body.dump()
     } catch {
-      // The rig's own faults may stand in its way.
+      // The stand-in may be unreachable because of an injected fault.
     }
   }
 
   async waitFor (url: string): Promise<void> {
-    const deadline = this.clock.now() + READY_MS
+    const deadline = this.clock.now() + READY_TIMEOUT_MS
     while (this.clock.now() < deadline) {
       try {
         const answer = await request(url, { headersTimeout: 1000 })
@@ -199,15 +199,15 @@
           return
         }
       } catch {
-        // Not there yet.
+        // The process doesn't listen yet.
       }
-      await waitUntil(this.clock, this.clock.now() + LOOK_MS)
+      await waitUntil(this.clock, this.clock.now() + POLL_INTERVAL_MS)
     }
-    const complaints = this.entries.map(({ child }) => child.complaint).join('\n')
-    throw new Error(`${url} does not answer.\n${complaints}`)
+    const errorOutput = this.entries.map(({ child }) => child.stderrTail).join('\n')
+    throw new Error(`${url} does not answer.\n${errorOutput}`)
   }
 
-  async end (): Promise<void> {
+  async close (): Promise<void> {
     await Promise.all(this.children.map(async child => await child.kill()))
     await rm(this.folder, { recursive: true })
   }
--- a/packages/foxtaillever-proof/src/soak/soakFaults.ts
+++ b/packages/foxtaillever-proof/src/soak/soakFaults.ts
@@ -1,4 +1,4 @@
-/** The faults of the soak, one drawn at a time; each undoes itself. */
+/** The faults of the soak, drawn one at a time; each ends by itself. */
 import { ListedState, waitUntil, type Clock, type Random } from 'foxtaillever-core'
 import { ENGINES, ENTRIES, type SoakDeployment } from './soakDeployment.js'
 import { SoakPromise, type SoakOracle } from './soakOracle.js'
@@ -8,26 +8,26 @@
   readonly oracle: SoakOracle
   readonly random: Random
   readonly clock: Clock
-  /** An instance is about to be disturbed; its callers' connections may break. */
-  readonly disturb: (entry: number) => void
-  /** An instance was told to end gracefully: nothing through it may be cut until it is back. */
-  readonly drain: (entry: number) => void
-  /** Instances that end gracefully just now; no other fault hits them. */
+  /** Called before a fault hits an instance; its callers' connections may break. */
+  readonly onDisturb: (entry: number) => void
+  /** Called before an instance stops gracefully; none of its answers may be cut off until it has restarted. */
+  readonly onDrain: (entry: number) => void
+  /** Instances that are stopping gracefully; no other fault hits them. */
   readonly draining: Set<number>
 }
 
 type Fault = (context: FaultContext) => Promise<void>
 
-const LONGEST_PAUSE_MS = 6000
-const LONGEST_DOWN_MS = 1500
-const LONGEST_OUTAGE_MS = 4000
+const MAX_PAUSE_MS = 6000
+const MAX_DOWNTIME_MS = 1500
+const MAX_OUTAGE_MS = 4000
 const LEAVING_MS = 3000
 
-async function waitSome (context: FaultContext, longestMs: number): Promise<void> {
-  await waitUntil(context.clock, context.clock.now() + context.random.below(longestMs))
+async function waitRandomly (context: FaultContext, maxMs: number): Promise<void> {
+  await waitUntil(context.clock, context.clock.now() + context.random.below(maxMs))
 }
 
-/** An instance that is not being drained, if the one drawn is not. */
+/** Draws an instance; undefined if it is stopping gracefully. */
 function drawEntry ({ random, draining }: FaultContext): number | undefined {
   const index = random.below(ENTRIES)
   return draining.has(index) ? undefined : index
@@ -39,10 +39,10 @@
     return
   }
   const entry = context.deployment.entries[index]
-  context.disturb(index)
+  context.onDisturb(index)
   await entry?.child.kill()
-  await waitSome(context, LONGEST_DOWN_MS)
-  context.disturb(index)
+  await waitRandomly(context, MAX_DOWNTIME_MS)
+  context.onDisturb(index)
   entry?.child.start()
 }
 
@@ -52,18 +52,18 @@
     return
   }
   const entry = context.deployment.entries[index]
-  context.disturb(index)
-  entry?.child.stop()
-  await waitSome(context, LONGEST_PAUSE_MS)
-  context.disturb(index)
-  entry?.child.continue()
+  context.onDisturb(index)
+  entry?.child.suspend()
+  await waitRandomly(context, MAX_PAUSE_MS)
+  context.onDisturb(index)
+  entry?.child.resume()
 }
 
-async function restartHerd (context: FaultContext): Promise<void> {
+async function restartAllEntries (context: FaultContext): Promise<void> {
   const { entries } = context.deployment
   await Promise.all(entries.map(async ({ child }, index) => {
     if (!context.draining.has(index)) {
-      context.disturb(index)
+      context.onDisturb(index)
       await child.kill()
       child.start()
     }
@@ -73,15 +73,15 @@
 async function drainEntry (context: FaultContext): Promise<void> {
   const index = drawEntry(context)
   const entry = index === undefined ? undefined : context.deployment.entries[index]
-  if (index === undefined || !entry?.child.isUp() || entry.child.isStopped) {
+  if (index === undefined || !entry?.child.isUp() || entry.child.isSuspended) {
     return
   }
   context.draining.add(index)
-  // A process that has not begun to serve has nothing to finish.
+  // A process that doesn't serve yet has no requests to finish.
   await context.deployment.waitFor(`${entry.address}/readyz`)
-  context.drain(index)
+  context.onDrain(index)
   const code = await entry.child.terminate()
-  context.oracle.expect(SoakPromise.GracefulStop, code === 0, () => `entry-${index} ended with ${code}: ${entry.child.complaint}`)
+  context.oracle.expect(SoakPromise.GracefulStop, code === 0, () => `entry-${index} ended with ${code}: ${entry.child.stderrTail}`)
   entry.child.start()
   context.draining.delete(index)
 }
@@ -89,18 +89,18 @@
 async function killEngine (context: FaultContext): Promise<void> {
   const engine = context.deployment.engines[context.random.below(ENGINES)]
   await engine?.child.kill()
-  await waitSome(context, LONGEST_DOWN_MS)
+  await waitRandomly(context, MAX_DOWNTIME_MS)
   engine?.child.start()
 }
 
 async function pauseEngine (context: FaultContext): Promise<void> {
   const engine = context.deployment.engines[context.random.below(ENGINES)]
-  engine?.child.stop()
-  await waitSome(context, LONGEST_PAUSE_MS)
-  engine?.child.continue()
+  engine?.child.suspend()
+  await waitRandomly(context, MAX_PAUSE_MS)
+  engine?.child.resume()
 }
 
-async function leaveEngine (context: FaultContext): Promise<void> {
+async function makeEngineLeave (context: FaultContext): Promise<void> {
   const index = context.random.below(ENGINES)
   const engine = context.deployment.engines[index]
   if (!engine) {
@@ -121,30 +121,30 @@
   }
 }
 
-async function logOutage (context: FaultContext): Promise<void> {
+async function causeLogOutage (context: FaultContext): Promise<void> {
   const { deployment } = context
   await deployment.setFaults(deployment.log, { outage: true })
-  await waitSome(context, LONGEST_OUTAGE_MS)
+  await waitRandomly(context, MAX_OUTAGE_MS)
   await deployment.setFaults(deployment.log, { outage: false })
 }
 
-async function loseAnswers (context: FaultContext): Promise<void> {
+async function loseLogAnswers (context: FaultContext): Promise<void> {
   const { deployment, random } = context
   await deployment.setFaults(deployment.log, { lostAnswers: 1 + random.below(4), slownessMs: random.below(300) })
-  await waitSome(context, LONGEST_OUTAGE_MS)
+  await waitRandomly(context, MAX_OUTAGE_MS)
   await deployment.setFaults(deployment.log, { slownessMs: 0 })
 }
 
-/** Names and faults; all are drawn equally often. */
+/** All faults by name; each is equally likely to be drawn. */
 export const soakFaults: ReadonlyArray<{ readonly name: string, readonly run: Fault }> = [
   { name: 'kill entry', run: killEntry },
   { name: 'pause entry', run: pauseEntry },
-  { name: 'restart herd', run: restartHerd },
+  { name: 'restart herd', run: restartAllEntries },
   { name: 'drain entry', run: drainEntry },
   { name: 'kill engine', run: killEngine },
   { name: 'pause engine', run: pauseEngine },
-  { name: 'leave engine', run: leaveEngine },
+  { name: 'leave engine', run: makeEngineLeave },
   { name: 'cut streams', run: cutStreams },
-  { name: 'log outage', run: logOutage },
-  { name: 'lose answers', run: loseAnswers }
+  { name: 'log outage', run: causeLogOutage },
+  { name: 'lose answers', run: loseLogAnswers }
 ]
--- a/packages/foxtaillever-proof/src/soak/soakLoad.ts
+++ b/packages/foxtaillever-proof/src/soak/soakLoad.ts
@@ -1,12 +1,12 @@
 /**
- * The soak's callers: open-loop, some orders among them, which are sent again
- * through another instance when their answer did not come, and now and then
- * twice at once.
+ * The soak's callers, an open-loop load. A failed request may be retried through
+ * another instance. Some requests are orders with an idempotency key; some of
+ * these are sent twice at once.
  */
 import { exponential, waitUntil, type Clock, type Random } from 'foxtaillever-core'
 import { Agent } from 'undici'
-import { SoakEnd, sendOnce, type SoakAnswer, type SoakSending } from './soakCaller.js'
-import { accounts, ENTRIES, type SoakDeployment } from './soakDeployment.js'
+import { SoakOutcome, sendAttempt, type SoakResult, type SoakAttempt } from './soakCaller.js'
+import { apiKeysByAccount, ENTRIES, type SoakDeployment } from './soakDeployment.js'
 import { SoakPromise, type SoakOracle } from './soakOracle.js'
 
 export interface LoadOptions {
@@ -17,7 +17,7 @@
   readonly requestsPerSecond: number
 }
 
-interface Draft {
+interface RequestDraft {
   readonly account: string
   readonly prompt: string
   readonly tokens: number
@@ -26,26 +26,26 @@
 }
 
 const ORDER_SHARE = 0.3
-const TWICE_SHARE = 0.1
-const AGAIN_SHARE = 0.7
-const MOST_SENDINGS = 4
-const LONGEST_WAIT_AGAIN_MS = 2000
-const MOST_TOKENS = 20
-const PROMPTS = 40
+const DUPLICATE_SHARE = 0.1
+const RETRY_SHARE = 0.7
+const MAX_ATTEMPTS = 4
+const MAX_RETRY_DELAY_MS = 2000
+const MAX_TOKENS = 20
+const PROMPT_COUNT = 40
 
-/** A last word may come this long after the deadline, milliseconds: the loop's tick and a busy machine. */
-const LAST_WORD_MS = 3000
+/** How long after its deadline a request may still end, milliseconds: allows for a timer tick and a busy machine. */
+const ANSWER_GRACE_MS = 3000
 
-/** The client's own limit, beyond all that the router may take, milliseconds. */
+/** Timeout of the HTTP client, longer than the router may take for any request, milliseconds. */
 const CLIENT_TIMEOUT_MS = 30_000
 
 export class SoakLoad {
-  /** When callers of each instance were last disturbed, milliseconds of Unix time. */
+  /** When a fault last hit each instance, milliseconds of Unix time. */
   private readonly disturbedAt = Array.from({ length: ENTRIES }, () => 0)
   private readonly drainedAt = Array.from({ length: ENTRIES }, () => 0)
   private readonly dispatcher = new Agent({ connections: 500, headersTimeout: CLIENT_TIMEOUT_MS, bodyTimeout: CLIENT_TIMEOUT_MS })
   private isRunning = true
-  private sendings = 0
+  private orderCount = 0
   inFlight = 0
 
   private constructor (private readonly options: LoadOptions) {}
@@ -54,25 +54,25 @@
     return new SoakLoad(options)
   }
 
-  disturb (entry: number): void {
+  recordDisturbance (entry: number): void {
     this.disturbedAt[entry] = this.options.clock.now()
   }
 
-  drain (entry: number): void {
+  recordDrain (entry: number): void {
     this.drainedAt[entry] = this.options.clock.now()
   }
 
   async run (): Promise<void> {
     const { clock, random, requestsPerSecond } = this.options
-    let next = clock.now()
+    let nextArrivalAt = clock.now()
     while (this.isRunning) {
-      next += exponential(random, 1000 / requestsPerSecond)
-      await waitUntil(clock, next)
-      this.serve(this.draw())
+      nextArrivalAt += exponential(random, 1000 / requestsPerSecond)
+      await waitUntil(clock, nextArrivalAt)
+      this.sendWithRetries(this.drawRequest())
     }
   }
 
-  /** Ends the arrivals; what was sent goes on. */
+  /** Stops new requests; those already sent go on. */
   stop (): void {
     this.isRunning = false
   }
@@ -81,62 +81,62 @@
     await this.dispatcher.destroy()
   }
 
-  private draw (): Draft {
+  private drawRequest (): RequestDraft {
     const { random } = this.options
-    const names = Object.keys(accounts)
+    const names = Object.keys(apiKeysByAccount)
     const account = names[random.below(names.length)] ?? ''
-    const order = random.next() < ORDER_SHARE
+    const isOrder = random.next() < ORDER_SHARE
     return {
       account,
-      prompt: `Catalogue of feeds. ${'Feed mix for sows. '.repeat(40)} Question ${random.below(PROMPTS)} of ${account}`,
-      tokens: 1 + random.below(MOST_TOKENS),
+      prompt: `Catalogue of feeds. ${'Feed mix for sows. '.repeat(40)} Question ${random.below(PROMPT_COUNT)} of ${account}`,
+      tokens: 1 + random.below(MAX_TOKENS),
       timeoutMs: 2000 + random.below(6000),
-      idempotencyKey: order ? `${Date.now()}-order-${this.sendings++}` : undefined
+      idempotencyKey: isOrder ? `${Date.now()}-order-${this.orderCount++}` : undefined
     }
   }
 
-  private async serve (draft: Draft): Promise<void> {
+  private async sendWithRetries (draft: RequestDraft): Promise<void> {
     const { random, clock } = this.options
-    const isTwice = draft.idempotencyKey !== undefined && random.next() < TWICE_SHARE
-    if (isTwice) {
+    const isDuplicated = draft.idempotencyKey !== undefined && random.next() < DUPLICATE_SHARE
+    if (isDuplicated) {
       this.send(draft, random.below(ENTRIES))
     }
     let entry = random.below(ENTRIES)
-    for (let sending = 0; sending < MOST_SENDINGS; sending++) {
-      const answer = await this.send(draft, entry)
-      if (answer.end === SoakEnd.Whole || random.next() > AGAIN_SHARE) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      const result = await this.send(draft, entry)
+      if (result.outcome === SoakOutcome.Whole || random.next() > RETRY_SHARE) {
         return
       }
-      await waitUntil(clock, clock.now() + random.below(LONGEST_WAIT_AGAIN_MS))
+      await waitUntil(clock, clock.now() + random.below(MAX_RETRY_DELAY_MS))
       entry = (entry + 1) % ENTRIES
     }
   }
 
-  private async send (draft: Draft, entry: number): Promise<SoakAnswer> {
+  private async send (draft: RequestDraft, entry: number): Promise<SoakResult> {
     const { deployment, oracle, clock } = this.options
     const { account, ...rest } = draft
-    const sending: SoakSending = { ...rest, address: deployment.entries[entry]?.address ?? '', dispatcher: this.dispatcher, apiKey: accounts[account] ?? '' }
+    const attempt: SoakAttempt = { ...rest, address: deployment.entries[entry]?.address ?? '', dispatcher: this.dispatcher, apiKey: apiKeysByAccount[account] ?? '' }
     const sentAt = clock.now()
     this.inFlight += 1
-    const answer = await sendOnce(sending, oracle)
+    const result = await sendAttempt(attempt, oracle)
     this.inFlight -= 1
-    this.judge(draft, entry, sentAt, answer)
-    return answer
+    this.checkResult(draft, entry, sentAt, result)
+    return result
   }
 
-  private judge (draft: Draft, entry: number, sentAt: number, answer: SoakAnswer): void {
+  private checkResult (draft: RequestDraft, entry: number, sentAt: number, result: SoakResult): void {
     const { oracle, clock } = this.options
-    oracle.outcome(answer.end === SoakEnd.Failed ? `${answer.code} ${answer.verdict}` : answer.end)
-    oracle.told(answer.requestId, answer.verdict)
-    if ((this.disturbedAt[entry] ?? 0) >= sentAt || answer.end === SoakEnd.Unreachable) {
+    oracle.recordOutcome(result.outcome === SoakOutcome.Failed ? `${result.code} ${result.verdict}` : result.outcome)
+    oracle.recordVerdict(result.requestId, result.verdict)
+    if ((this.disturbedAt[entry] ?? 0) >= sentAt || result.outcome === SoakOutcome.Unreachable) {
       return
     }
-    const tookMs = clock.now() - sentAt
-    oracle.expect(SoakPromise.AnsweredInTime, tookMs <= draft.timeoutMs + LAST_WORD_MS, () => `entry-${entry}: ${Math.round(tookMs)} ms of ${draft.timeoutMs} ms, ${answer.end} ${answer.code}`)
+    const durationMs = clock.now() - sentAt
+    oracle.expect(SoakPromise.AnsweredInTime, durationMs <= draft.timeoutMs + ANSWER_GRACE_MS, () => `entry-${entry}: ${Math.round(durationMs)} ms of ${draft.timeoutMs} ms, ${result.outcome} ${result.code}`)
     const isDraining = (this.drainedAt[entry] ?? 0) >= sentAt
     const promise = isDraining ? SoakPromise.GracefulStop : SoakPromise.AnswerWhole
-    // A request that meets a closing port is not cut: nothing of an answer had come.
-    const isCut = answer.end === SoakEnd.Cut && (isDraining || answer.requestId !== '')
-    oracle.expect(promise, !isCut, () => `entry-${entry}: cut (${answer.code}) after ${Math.round(tookMs)} ms`)
+    // A request that a closing port rejects doesn't count as cut off: no part of an answer had arrived.
+    const isCut = result.outcome === SoakOutcome.Cut && (isDraining || result.requestId !== '')
+    oracle.expect(promise, !isCut, () => `entry-${entry}: cut (${result.code}) after ${Math.round(durationMs)} ms`)
   }
 }
--- a/packages/foxtaillever-proof/src/soak/soakOracle.ts
+++ b/packages/foxtaillever-proof/src/soak/soakOracle.ts
@@ -1,4 +1,4 @@
-/** The soak's oracle: what engines told, what callers got, counted by promise. */
+/** The soak's oracle: compares the runs that engines reported with the answers that callers got, and counts checks and violations by promise. */
 import { Verdict } from 'foxtaillever-core'
 import type { EngineRun } from '../world/engineHost.js'
 
@@ -15,18 +15,18 @@
 export interface PromiseCount {
   checked: number
   violated: number
-  /** Some of the violations, until they are told. */
+  /** Some of the violations, until they are reported. */
   readonly details: string[]
 }
 
-const DETAILS = 5
+const MAX_DETAILS = 5
 
 export class SoakOracle {
   readonly counts = new Map<SoakPromise, PromiseCount>()
-  private readonly runs = new Map<string, string>()
+  private readonly engineByRequest = new Map<string, string>()
   private readonly runsByKey = new Map<string, string[]>()
-  private readonly notRun: string[] = []
-  /** How callers fared, by outcome. */
+  private readonly notRunIds: string[] = []
+  /** Number of attempts by outcome. */
   readonly outcomes = new Map<string, number>()
 
   static create (): SoakOracle {
@@ -38,48 +38,48 @@
   }
 
   expect (promise: SoakPromise, holds: boolean, detail: () => string): void {
-    this.add(promise, 1, holds ? 0 : 1, detail)
+    this.addCounts(promise, 1, holds ? 0 : 1, detail)
   }
 
-  add (promise: SoakPromise, checked: number, violated: number, detail: () => string): void {
+  addCounts (promise: SoakPromise, checked: number, violated: number, detail: () => string): void {
     const count = this.counts.get(promise)
     if (!count) {
       return
     }
     count.checked += checked
     count.violated += violated
-    if (violated > 0 && count.details.length < DETAILS) {
+    if (violated > 0 && count.details.length < MAX_DETAILS) {
       count.details.push(detail())
     }
   }
 
-  ran ({ engine, requestId, account, idempotencyKey }: EngineRun): void {
-    // Later tries of one request bear a number after its id.
-    this.runs.set(requestId, engine)
+  recordRun ({ engine, requestId, account, idempotencyKey }: EngineRun): void {
+    // Later attempts of one request have its id followed by a number.
+    this.engineByRequest.set(requestId, engine)
     if (idempotencyKey !== '') {
       const key = `${account} ${idempotencyKey}`
       this.runsByKey.set(key, [...this.runsByKey.get(key) ?? [], `${requestId} at ${engine}`])
     }
   }
 
-  told (requestId: string, verdict: string): void {
+  recordVerdict (requestId: string, verdict: string): void {
     if (verdict === Verdict.NotRun) {
-      this.notRun.push(requestId)
+      this.notRunIds.push(requestId)
     }
   }
 
-  outcome (name: string): void {
+  recordOutcome (name: string): void {
     this.outcomes.set(name, (this.outcomes.get(name) ?? 0) + 1)
   }
 
-  /** Asked at the end, when nothing can run any more. */
-  finish (): void {
+  /** Called at the end, when no request can run any more. */
+  checkRuns (): void {
     for (const [key, runs] of this.runsByKey) {
       this.expect(SoakPromise.AtMostOnce, runs.length === 1, () => `${key}: ${runs.join(', ')}`)
     }
-    const tries = [...this.runs.keys()]
-    for (const id of this.notRun) {
-      const run = this.runs.has(id) ? id : tries.find(other => other.startsWith(`${id}.`))
+    const attemptIds = [...this.engineByRequest.keys()]
+    for (const id of this.notRunIds) {
+      const run = this.engineByRequest.has(id) ? id : attemptIds.find(attemptId => attemptId.startsWith(`${id}.`))
       this.expect(SoakPromise.NotRunIsTrue, run === undefined, () => `${id} ran as ${run}`)
     }
   }
--- a/packages/foxtaillever-proof/src/soakEngine.ts
+++ b/packages/foxtaillever-proof/src/soakEngine.ts
@@ -1,6 +1,6 @@
 /**
- * The stand-in engine as a process that tells its parent of each run before it
- * begins, so that the oracle knows it even when the process is killed.
+ * The stand-in engine as a process that reports each run to its parent before
+ * the run begins, so that the oracle learns of it even if the process is killed.
  */
 import { writeSync } from 'node:fs'
 import { SystemClock } from 'foxtaillever-core'
