--- a/packages/foxtaillever-proof/src/__tests__/fuzz.test.ts
+++ b/packages/foxtaillever-proof/src/__tests__/fuzz.test.ts
@@ -1,12 +1,12 @@
 import { describe, it } from 'foxtaillever-testing'
-import { caughtAs, mutants, runMutant } from '../fuzz/mutants.js'
+import { findCaughtPromise, mutants, runMutant } from '../fuzz/mutants.js'
 import { runFuzz } from '../fuzz/runFuzz.js'
 
 const RUNS = 40
 
 describe('fuzzing', () => {
   describe('finds nothing', () => {
-    // A change that breaks a promise should be noticed before it lands; longer
+    // Detects a change that breaks a promise before it is merged; longer
     // campaigns are run by hand with `npm run fuzz`.
     for (const seed of [1, 2, 3]) {
       it(`with seed ${seed}`, async t => {
@@ -17,12 +17,12 @@
     }
   })
 
-  describe('notices the removal of', () => {
-    // A proof that cannot fail proves nothing.
+  describe('detects the removal of', () => {
+    // Guards against a fuzzer that finds no violation at all.
     for (const mutant of mutants) {
       it(mutant.safeguard, async t => {
         const report = await runMutant(mutant, true)
-        t.truthy(caughtAs(mutant, report), report.failure)
+        t.truthy(findCaughtPromise(mutant, report), report.failure)
       })
     }
   })
--- a/packages/foxtaillever-proof/src/commands/callerCommands.ts
+++ b/packages/foxtaillever-proof/src/commands/callerCommands.ts
@@ -1,16 +1,16 @@
-/** What callers do: send, send again through another instance, leave, come back. */
+/** Commands of callers: send, repeat an order through another instance, disconnect, reconnect. */
 import fc from 'fast-check'
-import type { Wish } from '../world/wish.js'
+import type { CallerRequest } from '../world/callerRequest.js'
 import { RETENTION_MS } from '../world/world.js'
 import { createCommand, type WorldCommand } from './command.js'
 
 const ACCOUNTS = ['cooperative', 'granja']
 const KEYS = 4
 
-/** Requests that come while a backend server begins to leave. */
-const LOAD = 4
+/** Number of requests sent while a backend server begins to leave. */
+const REQUESTS_WHILE_LEAVING = 4
 
-interface Draw {
+interface RequestDraw {
   readonly entry: number
   readonly account: string
   readonly prompt: number
@@ -21,7 +21,7 @@
   readonly gapMs: number
 }
 
-function draws (entries: number): fc.Arbitrary<Draw> {
+function drawRequests (entries: number): fc.Arbitrary<RequestDraw> {
   return fc.record({
     entry: fc.nat(entries - 1),
     account: fc.constantFrom(...ACCOUNTS),
@@ -34,8 +34,8 @@
   })
 }
 
-/** The same key always bears the same time, as a caller's stored order does. */
-function keyOf (start: number, key: number): string {
+/** Includes the start time of the world, so that a key stays the same for all attempts of one order. */
+function idempotencyKeyOf (start: number, key: number): string {
   return `${start}-order-${key}`
 }
 
@@ -43,51 +43,51 @@
   situation.entries[entry]?.isUp === true
 
 export function createCallerCommands (entries: number, engines: number): Array<fc.Arbitrary<WorldCommand>> {
-  const send = draws(entries).map(draw => createCommand(`send(${JSON.stringify(draw)})`, async world => {
-    const wish: Wish = { ...draw, idempotencyKey: undefined }
-    world.send(wish)
-    await world.pass(draw.gapMs)
-  }, situation => { situation.sendings += 1 }, isUp(draw.entry)))
+  const send = drawRequests(entries).map(draw => createCommand(`send(${JSON.stringify(draw)})`, async world => {
+    const callerRequest: CallerRequest = { ...draw, idempotencyKey: undefined }
+    world.send(callerRequest)
+    await world.advanceBy(draw.gapMs)
+  }, situation => { situation.sentRequests += 1 }, isUp(draw.entry)))
 
-  const order = draws(entries).map(draw => createCommand(`order(${JSON.stringify(draw)})`, async world => {
-    // Body and key belong together, but now and then a caller mixes them up.
+  const order = drawRequests(entries).map(draw => createCommand(`order(${JSON.stringify(draw)})`, async world => {
+    // A key normally always comes with the same body, but some callers reuse it for another one.
     const prompt = draw.prompt === 0 ? 1 : 10 + draw.key
-    world.send({ ...draw, prompt, tokens: 3, idempotencyKey: keyOf(world.startedAt, draw.key) })
-    await world.pass(draw.gapMs)
-  }, situation => { situation.sendings += 1 }, isUp(draw.entry)))
+    world.send({ ...draw, prompt, tokens: 3, idempotencyKey: idempotencyKeyOf(world.startedAt, draw.key) })
+    await world.advanceBy(draw.gapMs)
+  }, situation => { situation.sentRequests += 1 }, isUp(draw.entry)))
 
-  const burst = fc.tuple(draws(entries), fc.integer({ min: 2, max: 6 })).map(([draw, count]) => createCommand(`burst(${count}, ${JSON.stringify(draw)})`, async world => {
+  const burst = fc.tuple(drawRequests(entries), fc.integer({ min: 2, max: 6 })).map(([draw, count]) => createCommand(`burst(${count}, ${JSON.stringify(draw)})`, async world => {
     for (let index = 0; index < count; index++) {
       world.send({ ...draw, idempotencyKey: undefined })
-      await world.pass(draw.gapMs)
+      await world.advanceBy(draw.gapMs)
     }
-  }, situation => { situation.sendings += count }, isUp(draw.entry)))
+  }, situation => { situation.sentRequests += count }, isUp(draw.entry)))
 
-  const leaveUnderLoad = fc.tuple(draws(entries), fc.nat(engines - 1)).map(([draw, engine]) => createCommand(`leaveUnderLoad(${engine}, ${JSON.stringify(draw)})`, async world => {
+  const leaveUnderLoad = fc.tuple(drawRequests(entries), fc.nat(engines - 1)).map(([draw, engine]) => createCommand(`leaveUnderLoad(${engine}, ${JSON.stringify(draw)})`, async world => {
     world.leaveEngine(engine)
-    for (let index = 0; index < LOAD; index++) {
+    for (let index = 0; index < REQUESTS_WHILE_LEAVING; index++) {
       world.send({ ...draw, idempotencyKey: undefined })
-      await world.pass(draw.gapMs)
+      await world.advanceBy(draw.gapMs)
     }
-  }, situation => { situation.sendings += LOAD }, isUp(draw.entry)))
+  }, situation => { situation.sentRequests += REQUESTS_WHILE_LEAVING }, isUp(draw.entry)))
 
   const abandon = fc.nat(20).map(index => createCommand(`abandon(${index})`, world => world.abandon(index)))
 
   const reconnect = fc.record({ index: fc.nat(10), entry: fc.nat(entries - 1) }).map(({ index, entry }) =>
     createCommand(`reconnect(${index}, ${entry})`, async world => {
       world.reconnect(index, entry)
-      await world.pass(20)
+      await world.advanceBy(20)
     }))
 
   return [send, burst, leaveUnderLoad, order, order, order, abandon, reconnect]
 }
 
 export function createTimeCommands (): Array<fc.Arbitrary<WorldCommand>> {
-  const pass = fc.integer({ min: 1, max: 2500 }).map(ms => createCommand(`pass(${ms})`, world => world.pass(ms)))
+  const pass = fc.integer({ min: 1, max: 2500 }).map(ms => createCommand(`pass(${ms})`, world => world.advanceBy(ms)))
   return [pass, pass]
 }
 
-/** Rare, since it takes long: everything in the log expires. */
+/** Lets everything in the log expire; drawn rarely, since it takes long. */
 export function createOutliveLog (): fc.Arbitrary<WorldCommand> {
-  return fc.constant(createCommand('outliveLog()', world => world.pass(RETENTION_MS + 5000)))
+  return fc.constant(createCommand('outliveLog()', world => world.advanceBy(RETENTION_MS + 5000)))
 }
--- a/packages/foxtaillever-proof/src/commands/command.ts
+++ b/packages/foxtaillever-proof/src/commands/command.ts
@@ -1,16 +1,16 @@
-/** Commands of the fuzzer: each is one thing that callers, operators or faults do. */
+/** Commands of the fuzzer: each is one action of a caller or operator, or one fault. */
 import type fc from 'fast-check'
 import type { World } from '../world/world.js'
 
-/** What commands need to know beforehand; the oracle holds the rest. */
+/** The state that decides which commands can run; the oracle holds the rest. */
 export interface Situation {
   readonly entries: Array<{ isUp: boolean, isPaused: boolean }>
-  sendings: number
+  sentRequests: number
 }
 
 export type WorldCommand = fc.AsyncCommand<Situation, World, false>
 
-/** A command from its name, its condition and its effect. */
+/** Creates a command from its name, its effect and its condition. */
 export function createCommand (
   name: string,
   run: (world: World) => Promise<void> | void,
--- a/packages/foxtaillever-proof/src/commands/faultCommands.ts
+++ b/packages/foxtaillever-proof/src/commands/faultCommands.ts
@@ -1,4 +1,4 @@
-/** What fails: instances, engines, connections, the log; and operators who race. */
+/** Faults of instances, engines, connections and the log, and races between operators. */
 import fc from 'fast-check'
 import { LEASE_TERM_MS } from 'foxtaillever-fleet'
 import { presetNames } from '../world/world.js'
@@ -18,7 +18,7 @@
   const pause = entry.map(index => createCommand(`pauseEntry(${index})`, world => world.entries[index]?.pause(),
     ({ entries: all }) => { all[index] = { isUp: true, isPaused: true } },
     ({ entries: all }) => all[index]?.isUp === true && !all[index].isPaused))
-  const wake = entry.map(index => createCommand(`wakeEntry(${index})`, world => world.entries[index]?.wake(),
+  const wake = entry.map(index => createCommand(`wakeEntry(${index})`, world => world.entries[index]?.resume(),
     ({ entries: all }) => { all[index] = { isUp: true, isPaused: false } },
     ({ entries: all }) => all[index]?.isPaused === true))
   return [crash, restart, herd, pause, wake, wake]
@@ -34,7 +34,7 @@
   const cut = engine.map(index => createCommand(`cutConnections(${index})`, world => world.engines[index]?.cutAll()))
   const down = fc.tuple(engine, fc.integer({ min: 10, max: 1500 })).map(([index, ms]) => createCommand(`cutOff(${index}, ${ms})`, async world => {
     world.engines[index]?.setDown(true)
-    await world.pass(ms)
+    await world.advanceBy(ms)
     world.engines[index]?.setDown(false)
   }))
   const events = fc.record({ engine, kind: fc.constantFrom('lost' as const, 'repeated' as const, 'swapped' as const), count })
@@ -50,7 +50,7 @@
 export function createLogFaults (entries: number): Array<fc.Arbitrary<WorldCommand>> {
   const outage = fc.integer({ min: 50, max: OUTAGE_MS }).map(ms => createCommand(`logOutage(${ms})`, async world => {
     world.log.setFaults({ outage: true })
-    await world.pass(ms)
+    await world.advanceBy(ms)
     world.log.setFaults({ outage: false })
   }))
   const lost = fc.integer({ min: 1, max: 3 }).map(count => createCommand(`loseAnswers(${count})`, world => world.log.setFaults({ lostAnswers: count })))
@@ -63,11 +63,11 @@
       }
     }))
   const cutHolder = fc.integer({ min: LEASE_TERM_MS, max: LEASE_TERM_MS + 3000 }).map(ms =>
-    createCommand(`cutHolder(${ms})`, world => world.cutHolder(ms)))
+    createCommand(`cutHolder(${ms})`, world => world.partitionHolder(ms)))
   const race = fc.tuple(fc.constantFrom(...presetNames), fc.constantFrom(...presetNames)).map(([first, second]) =>
     createCommand(`raceOperators(${first}, ${second})`, async world => {
       world.raceOperators(world.entries[0]?.store.configuration().revision ?? 0, first, second)
-      await world.pass(10)
+      await world.advanceBy(10)
     }))
   return [outage, lost, slow, cutLog, cutLog, cutHolder, race]
 }
--- a/packages/foxtaillever-proof/src/fuzz.ts
+++ b/packages/foxtaillever-proof/src/fuzz.ts
@@ -12,7 +12,7 @@
   static override usage = Command.Usage({ description: 'Fuzz the router against an oracle under a virtual clock.' })
 
   seed = Option.String('--seed', '1', { description: 'Seed of the campaign.' })
-  runs = Option.String('--runs', '1000', { description: 'Lives of the small deployment.' })
+  runs = Option.String('--runs', '1000', { description: 'Number of runs of the small deployment.' })
   replayFrom = Option.String('--path', { description: 'Path printed with a failure, to replay it.' })
   replayPath = Option.String('--replay-path', { description: 'Replay path printed with a failure.' })
 
@@ -30,10 +30,10 @@
   }
 }
 
-/** Instances of one history, in turn. */
+/** Numbers of instances; histories use them in turn. */
 const LIMIT_SIZES = [8, 30, 70, 195]
 
-/** By the command's path. */
+/** The kind of limit by the command's path. */
 const limitSubjects: Readonly<Record<string, LimitSubject>> = { quota: quotas, 'server-limits': serverLimits }
 
 class LimitsCommand extends Command {
@@ -41,7 +41,7 @@
   static override usage = Command.Usage({ description: 'Draw histories of a fleet that shares limits, and check every window against an oracle.' })
 
   seed = Option.String('--seed', '1', { description: 'Seed of the first history; the next ones follow.' })
-  runs = Option.String('--runs', '300', { description: 'Histories of one limit.' })
+  runs = Option.String('--runs', '300', { description: 'Number of histories of one limit.' })
 
   async execute (): Promise<number> {
     let worst = 0
@@ -59,17 +59,17 @@
 
 class StatementsCommand extends Command {
   static override paths = [['server-statements']]
-  static override usage = Command.Usage({ description: 'Draw histories of servers that say they leave or ask for rest, and count what reaches them.' })
+  static override usage = Command.Usage({ description: 'Draw histories of servers that state that they are leaving or backing off, and count the requests that reach them.' })
 
   seed = Option.String('--seed', '1', { description: 'Seed of the first history; the next ones follow.' })
-  runs = Option.String('--runs', '300', { description: 'Histories.' })
+  runs = Option.String('--runs', '300', { description: 'Number of histories.' })
 
   async execute (): Promise<number> {
     let broken = 0
     for (let seed = Number(this.seed); seed < Number(this.seed) + Number(this.runs); seed++) {
-      const complaints = await StatementHistory.play(seed)
-      broken += complaints.length
-      complaints.forEach(complaint => console.log(`seed ${seed}: ${complaint}`))
+      const violations = await StatementHistory.play(seed)
+      broken += violations.length
+      violations.forEach(violation => console.log(`seed ${seed}: ${violation}`))
     }
     console.log(JSON.stringify({ runs: Number(this.runs), broken }))
     return broken > 0 ? 1 : 0
--- a/packages/foxtaillever-proof/src/fuzz/mutants.ts
+++ b/packages/foxtaillever-proof/src/fuzz/mutants.ts
@@ -1,36 +1,36 @@
 /**
- * The table of safeguards and the campaigns that notice when one is missing.
- * A safeguard whose removal no campaign notices is a hole in the proof.
+ * The table of safeguards and the campaigns that detect when one is missing.
+ * A safeguard whose removal no campaign detects is a gap in the proof.
  */
 import { allSafeguards, Safeguard } from 'foxtaillever-router'
-import { Promised } from '../oracle/oracle.js'
+import { OraclePromise } from '../oracle/oracle.js'
 import { runFuzz, type FuzzReport } from './runFuzz.js'
 
 export interface Mutant {
   readonly safeguard: Safeguard
-  /** Seed whose campaign notices. */
+  /** Seed of a campaign that detects the missing safeguard. */
   readonly seed: number
-  /** Lives within which it is noticed. */
+  /** Number of runs within which the campaign detects it. */
   readonly runs: number
-  /** The promises of which the oracle finds one broken; which one depends on what shrinking leaves. */
-  readonly broken: readonly Promised[]
+  /** The oracle finds one of these promises broken; which one depends on the result of shrinking. */
+  readonly broken: readonly OraclePromise[]
 }
 
 export const mutants: readonly Mutant[] = [
-  { safeguard: Safeguard.ClaimBeforeSend, seed: 1, runs: 600, broken: [Promised.AtMostOnce] },
-  { safeguard: Safeguard.IncarnationCheck, seed: 7, runs: 600, broken: [Promised.OwnAnswerInOrder] },
-  // A lost event that is passed over breaks the order, or the whole when it was the last one.
-  { safeguard: Safeguard.SequenceCheck, seed: 1, runs: 600, broken: [Promised.OwnAnswerInOrder, Promised.AnswerWhole] },
-  { safeguard: Safeguard.FencingMargin, seed: 1, runs: 600, broken: [Promised.OneGiverOfOrders] },
-  { safeguard: Safeguard.AtOnceDrain, seed: 7, runs: 600, broken: [Promised.OwnWordAtOnce] }
+  { safeguard: Safeguard.ClaimBeforeSend, seed: 1, runs: 600, broken: [OraclePromise.AtMostOnce] },
+  { safeguard: Safeguard.IncarnationCheck, seed: 7, runs: 600, broken: [OraclePromise.OwnAnswerInOrder] },
+  // An undetected lost event breaks the order of the answer, or its completeness if it was the last event.
+  { safeguard: Safeguard.SequenceCheck, seed: 1, runs: 600, broken: [OraclePromise.OwnAnswerInOrder, OraclePromise.AnswerWhole] },
+  { safeguard: Safeguard.FencingMargin, seed: 1, runs: 600, broken: [OraclePromise.OneOrderSender] },
+  { safeguard: Safeguard.AtOnceDrain, seed: 7, runs: 600, broken: [OraclePromise.OwnStatementAtOnce] }
 ]
 
-/** The campaign with the one safeguard switched off. */
+/** Runs the campaign with this one safeguard switched off. */
 export async function runMutant ({ safeguard, seed, runs }: Mutant, endsOnFailure = false): Promise<FuzzReport> {
   return await runFuzz({ seed, runs, endsOnFailure, safeguards: { ...allSafeguards, [safeguard]: false } })
 }
 
-/** The promise found broken that was to be, if any. */
-export function caughtAs ({ broken }: Mutant, { failure }: FuzzReport): Promised | undefined {
+/** The expected promise that the campaign found broken, if any. */
+export function findCaughtPromise ({ broken }: Mutant, { failure }: FuzzReport): OraclePromise | undefined {
   return broken.find(promise => failure.includes(promise))
 }
--- a/packages/foxtaillever-proof/src/fuzz/runFuzz.ts
+++ b/packages/foxtaillever-proof/src/fuzz/runFuzz.ts
@@ -1,7 +1,7 @@
 /**
- * One fuzzing campaign: many short lives of a small deployment, each a row of
- * commands drawn by fast-check from one seed. A failure shrinks to the fewest
- * commands and is replayed by its seed, path and replay path.
+ * One fuzzing campaign: many short runs of a small deployment, each a sequence of
+ * commands that fast-check draws from one seed. A failure is shrunk to the fewest
+ * commands and can be replayed with its seed, path and replay path.
  */
 import fc from 'fast-check'
 import { allSafeguards, type Safeguards } from 'foxtaillever-router'
@@ -16,9 +16,9 @@
   readonly safeguards?: Safeguards
   readonly path?: string
   readonly replayPath?: string
-  /** Whether a failure is only told, not shrunk. */
+  /** Whether a failure is only reported, not shrunk. */
   readonly endsOnFailure?: boolean
-  /** Hears how many runs are over. */
+  /** Called after each run with the number of completed runs. */
   readonly onRun?: (runs: number) => void
 }
 
@@ -30,13 +30,13 @@
   readonly engineRuns: number
   readonly sendings: number
   readonly wholeAnswers: number
-  /** Empty when nothing was found. */
+  /** Empty if no violation was found. */
   readonly failure: string
 }
 
 const ENTRIES = 3
 const ENGINES = 3
-const MOST_COMMANDS = 40
+const MAX_COMMANDS = 40
 
 function createCommands (replayPath: string | undefined): fc.Arbitrary<Iterable<WorldCommand>> {
   const weigh = (weight: number, arbitraries: Array<fc.Arbitrary<WorldCommand>>) => arbitraries.map(arbitrary => ({ weight, arbitrary }))
@@ -48,11 +48,11 @@
     ...weigh(8, createLogFaults(ENTRIES)),
     ...weigh(2, [createOutliveLog()])
   )
-  return fc.commands([mixed], { maxCommands: MOST_COMMANDS, replayPath, size: 'max' })
+  return fc.commands([mixed], { maxCommands: MAX_COMMANDS, replayPath, size: 'max' })
 }
 
 function createSituation (): Situation {
-  return { entries: Array.from({ length: ENTRIES }, () => ({ isUp: true, isPaused: false })), sendings: 0 }
+  return { entries: Array.from({ length: ENTRIES }, () => ({ isUp: true, isPaused: false })), sentRequests: 0 }
 }
 
 export async function runFuzz (options: FuzzOptions): Promise<FuzzReport> {
@@ -60,14 +60,14 @@
   const property = fc.asyncProperty(fc.nat(), createCommands(options.replayPath), async (seed, commands) => {
     const world = await World.create({ seed, entries: ENTRIES, engines: ENGINES, safeguards: options.safeguards ?? allSafeguards })
     await fc.asyncModelRun(() => ({ model: createSituation(), real: world }), commands)
-    await world.rest()
+    await world.endFaultsAndCheck()
     const { oracle } = world
     counts.runs += 1
     counts.commands += [...commands].length
     counts.checks += oracle.checks
     counts.engineRuns += oracle.runs.length
-    counts.sendings += oracle.sendings.length
-    counts.wholeAnswers += oracle.sendings.filter(sending => sending.isWhole).length
+    counts.sendings += oracle.sentRequests.length
+    counts.wholeAnswers += oracle.sentRequests.filter(sentRequest => sentRequest.isWhole).length
     options.onRun?.(counts.runs)
     const violation = oracle.violations[0]
     if (violation) {
--- a/packages/foxtaillever-proof/src/index.ts
+++ b/packages/foxtaillever-proof/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the proof. */
+/** Public API of the proof. */
 export * from './fuzz/runFuzz.js'
 export * from './oracle/oracle.js'
 export * from './world/world.js'
--- a/packages/foxtaillever-proof/src/oracle/oracle.ts
+++ b/packages/foxtaillever-proof/src/oracle/oracle.ts
@@ -1,53 +1,53 @@
 /**
- * What callers sent and received and what engines ran, and the questions that
- * the promises put to both. It knows nothing of how the router works.
+ * Records what callers sent and received and what engines ran, and checks the
+ * promises against both. It knows nothing of how the router works.
  */
 import { Verdict, type Failure, type StreamEnd } from 'foxtaillever-core'
 import { answerKey, answerToken } from 'foxtaillever-standins'
 import type { EngineRun } from '../world/engineHost.js'
 
-/** One sending of one request by a caller. */
-export interface Sending {
+/** A request as a caller sent it once, and what the caller received for it. */
+export interface SentRequest {
   readonly id: string
   readonly account: string
   /** Empty for idempotent requests. */
   readonly idempotencyKey: string
   readonly prompt: string
   readonly tokens: number
-  /** Instance through which it goes at present. */
+  /** Instance that currently handles the request. */
   entry: string
-  /** True time, milliseconds; later when the caller comes back for its stream. */
+  /** True time, milliseconds; moved later when the caller reconnects to its stream. */
   deadline: number
   readonly received: string[]
-  lastWords: number
+  finalEvents: number
   failure: Failure | undefined
   isWhole: boolean
-  /** The instance died, or the caller left: no last word is owed. */
+  /** The instance died or the caller disconnected, so no final event is expected. */
   isExcused: boolean
 }
 
-export enum Promised {
+export enum OraclePromise {
   OwnAnswerInOrder = 'own-answer-in-order',
   AnswerWhole = 'answer-whole',
   NotRunIsTrue = 'not-run-is-true',
   AtMostOnce = 'at-most-once',
-  OneLastWord = 'one-last-word',
+  OneFinalEvent = 'one-last-word',
   AnsweredByDeadline = 'answered-by-deadline',
-  OwnWordAtOnce = 'own-word-at-once',
-  OneGiverOfOrders = 'one-giver-of-orders',
+  OwnStatementAtOnce = 'own-word-at-once',
+  OneOrderSender = 'one-giver-of-orders',
   SameConfiguration = 'same-configuration'
 }
 
 export interface Violation {
-  readonly promise: Promised
+  readonly promise: OraclePromise
   readonly detail: string
 }
 
-/** Time after a deadline in which the last word must have come, milliseconds; a tick and a clock's error. */
-export const LAST_WORD_MS = 1500
+/** How long after a deadline the final event may still come, milliseconds: allows for a timer tick and the error of a clock. */
+export const FINAL_EVENT_GRACE_MS = 1500
 
 export class Oracle {
-  readonly sendings: Sending[] = []
+  readonly sentRequests: SentRequest[] = []
   readonly runs: EngineRun[] = []
   readonly violations: Violation[] = []
   checks = 0
@@ -56,62 +56,62 @@
     return new Oracle()
   }
 
-  expect (promise: Promised, holds: boolean, detail: () => string): void {
+  expect (promise: OraclePromise, holds: boolean, detail: () => string): void {
     this.checks += 1
     if (!holds) {
       this.violations.push({ promise, detail: detail() })
     }
   }
 
-  ran (run: EngineRun): void {
+  recordRun (run: EngineRun): void {
     this.runs.push(run)
     if (run.idempotencyKey === '') {
       return
     }
-    const same = this.runs.filter(other => other.idempotencyKey === run.idempotencyKey && other.account === run.account)
-    this.expect(Promised.AtMostOnce, same.length === 1, () => same.map(other => `${other.requestId} at ${other.engine}`).join(', '))
+    const sameKeyRuns = this.runs.filter(other => other.idempotencyKey === run.idempotencyKey && other.account === run.account)
+    this.expect(OraclePromise.AtMostOnce, sameKeyRuns.length === 1, () => sameKeyRuns.map(other => `${other.requestId} at ${other.engine}`).join(', '))
   }
 
-  token (sending: Sending, sequence: number, text: string): void {
-    sending.received.push(text)
-    const index = sending.received.length
-    const wanted = answerToken(answerKey(sending.prompt), index)
-    this.expect(Promised.OwnAnswerInOrder, sequence === index && text === wanted, () => `${sending.id}: token ${sequence} as number ${index}`)
+  checkToken (sentRequest: SentRequest, sequence: number, text: string): void {
+    sentRequest.received.push(text)
+    const index = sentRequest.received.length
+    const expectedText = answerToken(answerKey(sentRequest.prompt), index)
+    this.expect(OraclePromise.OwnAnswerInOrder, sequence === index && text === expectedText, () => `${sentRequest.id}: token ${sequence} as number ${index}`)
   }
 
-  finished (sending: Sending, end: StreamEnd): void {
-    this.lastWord(sending)
-    sending.isWhole = true
-    const { received, tokens } = sending
-    this.expect(Promised.AnswerWhole, received.length === tokens && end.completionTokens === tokens, () => `${sending.id}: ${received.length} of ${tokens}`)
+  recordFinish (sentRequest: SentRequest, end: StreamEnd): void {
+    this.recordFinalEvent(sentRequest)
+    sentRequest.isWhole = true
+    const { received, tokens } = sentRequest
+    this.expect(OraclePromise.AnswerWhole, received.length === tokens && end.completionTokens === tokens, () => `${sentRequest.id}: ${received.length} of ${tokens}`)
   }
 
-  failed (sending: Sending, failure: Failure): void {
-    this.lastWord(sending)
-    sending.failure = failure
+  recordFailure (sentRequest: SentRequest, failure: Failure): void {
+    this.recordFinalEvent(sentRequest)
+    sentRequest.failure = failure
   }
 
-  private lastWord (sending: Sending): void {
-    sending.lastWords += 1
-    this.expect(Promised.OneLastWord, sending.lastWords === 1, () => `${sending.id}: ${sending.lastWords}`)
+  private recordFinalEvent (sentRequest: SentRequest): void {
+    sentRequest.finalEvents += 1
+    this.expect(OraclePromise.OneFinalEvent, sentRequest.finalEvents === 1, () => `${sentRequest.id}: ${sentRequest.finalEvents}`)
   }
 
-  /** Asked now and then, and once more when all has come to rest. */
+  /** Called after each step of time, also at the end when all requests have ended. */
   checkDeadlines (now: number, isPaused: (entry: string) => boolean): void {
-    for (const sending of this.sendings) {
-      const isDue = sending.deadline + LAST_WORD_MS < now && !sending.isExcused && !isPaused(sending.entry)
+    for (const sentRequest of this.sentRequests) {
+      const isDue = sentRequest.deadline + FINAL_EVENT_GRACE_MS < now && !sentRequest.isExcused && !isPaused(sentRequest.entry)
       if (isDue) {
-        this.expect(Promised.AnsweredByDeadline, sending.lastWords > 0, () => `${sending.id} through ${sending.entry}`)
+        this.expect(OraclePromise.AnsweredByDeadline, sentRequest.finalEvents > 0, () => `${sentRequest.id} through ${sentRequest.entry}`)
       }
     }
   }
 
-  /** A run that begins after "not run" was told counts as well, hence at the end. */
+  /** Called at the end, because a run that begins after the caller got "not run" is a violation as well. */
   checkNotRun (): void {
-    for (const { id, failure } of this.sendings) {
+    for (const { id, failure } of this.sentRequests) {
       if (failure?.verdict === Verdict.NotRun) {
         const run = this.runs.find(other => other.requestId === id || other.requestId.startsWith(`${id}.`))
-        this.expect(Promised.NotRunIsTrue, run === undefined, () => `${id} ran at ${run?.engine}, yet ${failure.message}`)
+        this.expect(OraclePromise.NotRunIsTrue, run === undefined, () => `${id} ran at ${run?.engine}, yet ${failure.message}`)
       }
     }
   }
--- a/packages/foxtaillever-proof/src/world/deploymentOf.ts
+++ b/packages/foxtaillever-proof/src/world/createFirstChanges.ts
@@ -1,4 +1,4 @@
-/** What the operators of the small deployment publish first. */
+/** The first configuration that the operators of the small deployment publish. */
 import { AdministrativeState, ServerKind, type BackendServer } from 'foxtaillever-core'
 import { ChangeKind, type Change } from 'foxtaillever-fleet'
 
@@ -19,7 +19,7 @@
   }
 }
 
-/** No version of weights is asked for, so that they may change beneath a stream. */
+/** The model requires no version of weights, so weights may change during a stream. */
 export function createFirstChanges (engines: readonly string[]): Change[] {
   const servers = engines.map((name): Change => ({ kind: ChangeKind.PutServer, server: serverOf(name) }))
   return [...servers, { kind: ChangeKind.PutModel, model: { name: 'order-language', weightsVersion: '', adapters: [] } }]
--- a/packages/foxtaillever-proof/src/world/engineHost.ts
+++ b/packages/foxtaillever-proof/src/world/engineHost.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in engine as several processes reach it. Its stream ids are numbered
- * anew after each crash, as those of careless engines are, so that an id alone
- * never names a stream. All that runs is told to the oracle.
+ * A stand-in engine that several processes connect to. It numbers its streams
+ * from zero again after each crash, as some engines do, so a stream id alone
+ * doesn't identify a stream. Every run is reported to the oracle.
  */
 import type { Clock, Failure, LoadReport } from 'foxtaillever-core'
 import { EngineModel, type EngineOptions, type Generation, type StreamSink } from 'foxtaillever-standins'
@@ -14,7 +14,7 @@
   readonly idempotencyKey: string
 }
 
-/** Faults of the connections to one engine; each counts the events still to be hit. */
+/** Faults of the connections to one engine: how many of the next events each fault will hit. */
 export interface ConnectionFaults {
   lost: number
   repeated: number
@@ -23,13 +23,13 @@
 
 export class EngineHost {
   readonly faults: ConnectionFaults = { lost: 0, repeated: 0, swapped: 0 }
-  readonly cutters = new Set<() => void>()
+  readonly cutCallbacks = new Set<() => void>()
   private model: EngineModel
   private readonly realIds = new Map<string, string>()
-  private readonly names = new Map<string, string>()
+  private readonly publicIds = new Map<string, string>()
   private isDown = false
   private weightsVersion: string
-  /** Times it came back empty. */
+  /** How often the engine crashed and restarted empty. */
   crashes = 0
 
   private constructor (readonly options: EngineOptions, private readonly clock: Clock, private readonly onRun: (run: EngineRun) => void) {
@@ -46,9 +46,9 @@
   }
 
   submit (generation: Generation, idempotencyKey: string, sink: StreamSink): Either<Failure, string> {
-    const submitted = this.model.submit(generation, this.rename(sink))
+    const submitted = this.model.submit(generation, this.withPublicIds(sink))
     submitted.ifRight(streamId => {
-      this.nameOf(streamId)
+      this.publicIdOf(streamId)
       const { requestId, account } = generation
       this.onRun({ engine: this.options.name, requestId, account, idempotencyKey })
     })
@@ -56,21 +56,21 @@
   }
 
   resume (name: string, after: number, sink: StreamSink): Either<Failure, void> {
-    return this.model.resume(this.realIds.get(name) ?? name, after, this.rename(sink))
+    return this.model.resume(this.realIds.get(name) ?? name, after, this.withPublicIds(sink))
   }
 
-  private rename (sink: StreamSink): StreamSink {
+  private withPublicIds (sink: StreamSink): StreamSink {
     return {
-      started: start => sink.started({ ...start, streamId: this.nameOf(start.streamId) }),
+      started: start => sink.started({ ...start, streamId: this.publicIdOf(start.streamId) }),
       token: (sequence, text) => sink.token(sequence, text),
       finished: (sequence, end) => sink.finished(sequence, end),
       failed: failure => sink.failed(failure)
     }
   }
 
-  private nameOf (streamId: string): string {
-    const name = this.names.get(streamId) ?? `stream-${this.names.size}`
-    this.names.set(streamId, name)
+  private publicIdOf (streamId: string): string {
+    const name = this.publicIds.get(streamId) ?? `stream-${this.publicIds.size}`
+    this.publicIds.set(streamId, name)
     this.realIds.set(name, streamId)
     return name
   }
@@ -87,16 +87,16 @@
     this.model.leave()
   }
 
-  /** Comes back empty, as another incarnation that takes new work, perhaps with other weights. */
+  /** Crashes the engine and restarts it empty: a new incarnation that accepts work, perhaps with other weights. */
   crash (weightsVersion = this.weightsVersion): void {
     this.weightsVersion = weightsVersion
-    const lost = this.model
-    this.names.clear()
+    const crashedModel = this.model
+    this.publicIds.clear()
     this.realIds.clear()
     this.crashes += 1
     const name = `${this.options.name}-${this.crashes}`
     this.model = EngineModel.create({ ...this.options, name, weightsVersion }, this.clock)
-    lost.crash()
+    crashedModel.crash()
   }
 
   setDown (isDown: boolean): void {
@@ -106,8 +106,8 @@
     }
   }
 
-  /** Breaks each open connection; streams go on unseen. */
+  /** Breaks each open connection; the streams go on at the engine. */
   cutAll (): void {
-    [...this.cutters].forEach(cut => cut())
+    [...this.cutCallbacks].forEach(cut => cut())
   }
 }
--- a/packages/foxtaillever-proof/src/world/enginePort.ts
+++ b/packages/foxtaillever-proof/src/world/enginePort.ts
@@ -1,7 +1,7 @@
 /**
  * The engine interface of the router over a simulated wire: bytes take time,
- * connections break, events are lost, repeated and swapped. What the router
- * hears, it hears on its own clock, so a paused process hears it late.
+ * connections break, events are lost, repeated and swapped. The router receives
+ * events on its own clock, so a paused process receives them late.
  */
 import {
   Failure, FailureCode, renderMessages, Verdict,
@@ -10,45 +10,45 @@
 import type { StreamSink } from 'foxtaillever-standins'
 import { Left, Right, type Either } from 'purify-ts'
 import type { EngineHost } from './engineHost.js'
-import type { HeldClock } from './heldClock.js'
+import type { PausableClock } from './pausableClock.js'
 
-/** One way on the simulated wire, milliseconds. */
+/** One-way delay of the simulated wire, milliseconds. */
 const DELAY_MS = 1
 
-interface Word {
-  readonly say: (listener: GenerateListener) => void
+interface WireEvent {
+  readonly deliver: (listener: GenerateListener) => void
   readonly isLast: boolean
 }
 
-/** Hears of refusals and of calls, to see whether a server's own word counts at once. */
+/** Receives refusals and calls, to check that a server's own statement takes effect at once. */
 export interface PortObserver {
-  /** @param crashes how often the engine had come back empty when it refused. */
-  refused: (engine: string, crashes: number, failure: Failure) => void
-  called: (engine: string, crashes: number) => void
+  /** @param crashes how often the engine had crashed and restarted before it refused. */
+  onRefusal: (engine: string, crashes: number, failure: Failure) => void
+  onCall: (engine: string, crashes: number) => void
 }
 
 class Connection implements GenerateStream {
   isOpen = true
   private isPaused = false
   private isSent = false
-  /** The wire is broken, though the router has not heard of it yet. */
+  /** The connection is broken, though the router doesn't know it yet. */
   private isCut = false
-  private waiting: Word[] = []
-  private swapped: Word['say'] | undefined
+  private waiting: WireEvent[] = []
+  private swapped: WireEvent['deliver'] | undefined
 
   constructor (
     private readonly host: EngineHost,
     private readonly world: Clock,
-    private readonly clock: HeldClock,
+    private readonly clock: PausableClock,
     private readonly listener: GenerateListener,
     private readonly requestId: string
   ) {
-    this.host.cutters.add(this.cut)
+    this.host.cutCallbacks.add(this.cut)
   }
 
-  /** Asks the router whether the byte may leave, then lets it travel. */
+  /** Sends the request once the router allows its first byte to leave. */
   open (arrive: () => void): void {
-    this.clock.atWorld(this.world.now() + DELAY_MS, () => {
+    this.clock.atTrueTime(this.world.now() + DELAY_MS, () => {
       if (!this.isOpen || this.isCut) {
         return
       }
@@ -71,57 +71,57 @@
 
   readonly cut = (): void => {
     this.isCut = true
-    this.host.cutters.delete(this.cut)
+    this.host.cutCallbacks.delete(this.cut)
     const verdict = this.isSent ? Verdict.MayHaveRun : Verdict.NotRun
-    this.hear(listener => listener.failed(Failure.create(FailureCode.ConnectionLost, verdict, 'The connection broke.')), true)
+    this.receive(listener => listener.failed(Failure.create(FailureCode.ConnectionLost, verdict, 'The connection broke.')), true)
   }
 
-  hear (say: Word['say'], isLast = false): void {
-    this.clock.atWorld(this.world.now() + DELAY_MS, () => {
-      this.waiting.push({ say, isLast })
-      this.drain()
+  receive (say: WireEvent['deliver'], isLast = false): void {
+    this.clock.atTrueTime(this.world.now() + DELAY_MS, () => {
+      this.waiting.push({ deliver: say, isLast })
+      this.deliverWaiting()
     })
   }
 
-  private drain (): void {
+  private deliverWaiting (): void {
     while (this.isOpen && !this.isPaused) {
-      const word = this.waiting.shift()
-      if (!word) {
+      const event = this.waiting.shift()
+      if (!event) {
         return
       }
-      if (word.isLast) {
+      if (event.isLast) {
         this.close()
       }
-      word.say(this.listener)
+      event.deliver(this.listener)
     }
   }
 
-  /** A token passes the wire's faults. */
-  hearToken (sequence: number, data: string): void {
+  /** Applies the faults of the wire to a token. */
+  receiveToken (sequence: number, data: string): void {
     const { faults } = this.host
-    const word: Word['say'] = listener => listener.token(sequence, data)
+    const event: WireEvent['deliver'] = listener => listener.token(sequence, data)
     if (faults.lost > 0) {
       faults.lost -= 1
       return
     }
     if (faults.swapped > 0 && !this.swapped) {
       faults.swapped -= 1
-      this.swapped = word
+      this.swapped = event
       return
     }
-    this.hear(word)
+    this.receive(event)
     if (faults.repeated > 0) {
       faults.repeated -= 1
-      this.hear(word)
+      this.receive(event)
     }
-    this.hearSwapped()
+    this.receiveSwapped()
   }
 
-  hearSwapped (): void {
+  receiveSwapped (): void {
     const { swapped } = this
     this.swapped = undefined
     if (swapped) {
-      this.hear(swapped)
+      this.receive(swapped)
     }
   }
 
@@ -134,7 +134,7 @@
 
   private close (): void {
     this.isOpen = false
-    this.host.cutters.delete(this.cut)
+    this.host.cutCallbacks.delete(this.cut)
   }
 
   cancel (): void {
@@ -154,7 +154,7 @@
 
   resume (): void {
     this.isPaused = false
-    this.clock.atWorld(this.world.now(), () => this.drain())
+    this.clock.atTrueTime(this.world.now(), () => this.deliverWaiting())
   }
 }
 
@@ -162,19 +162,19 @@
   private constructor (
     private readonly host: EngineHost,
     private readonly world: Clock,
-    private readonly clock: HeldClock,
+    private readonly clock: PausableClock,
     private readonly observer: PortObserver
   ) {}
 
-  static create (host: EngineHost, world: Clock, clock: HeldClock, observer: PortObserver): EnginePort {
+  static create (host: EngineHost, world: Clock, clock: PausableClock, observer: PortObserver): EnginePort {
     return new EnginePort(host, world, clock, observer)
   }
 
   generate (call: GenerateCall, listener: GenerateListener): GenerateStream {
     const connection = new Connection(this.host, this.world, this.clock, listener, call.requestId)
-    this.observer.called(this.host.options.name, this.host.crashes)
+    this.observer.onCall(this.host.options.name, this.host.crashes)
     connection.open(() => {
-      this.host.submit(readGeneration(call), call.idempotencyKey, sinkOf(connection)).ifLeft(failure => this.refuse(connection, failure))
+      this.host.submit(readGeneration(call), call.idempotencyKey, createSink(connection)).ifLeft(failure => this.refuse(connection, failure))
     })
     return connection
   }
@@ -182,15 +182,15 @@
   resume (call: ResumeCall, listener: GenerateListener): GenerateStream {
     const connection = new Connection(this.host, this.world, this.clock, listener, call.requestId)
     connection.open(() => {
-      this.host.resume(call.streamId, call.after, sinkOf(connection)).ifLeft(failure => this.refuse(connection, failure))
+      this.host.resume(call.streamId, call.after, createSink(connection)).ifLeft(failure => this.refuse(connection, failure))
     })
     return connection
   }
 
   private refuse (connection: Connection, failure: Failure): void {
     const { crashes, options } = this.host
-    connection.hear(listener => {
-      this.observer.refused(options.name, crashes, failure)
+    connection.receive(listener => {
+      this.observer.onRefusal(options.name, crashes, failure)
       listener.failed(failure)
     }, true)
   }
@@ -222,14 +222,14 @@
   }
 }
 
-function sinkOf (connection: Connection): StreamSink {
+function createSink (connection: Connection): StreamSink {
   return {
-    started: start => connection.hear(listener => listener.started(start)),
-    token: (sequence, text) => connection.hearToken(sequence, text),
+    started: start => connection.receive(listener => listener.started(start)),
+    token: (sequence, text) => connection.receiveToken(sequence, text),
     finished: (_sequence: number, end: StreamEnd) => {
-      connection.hearSwapped()
-      connection.hear(listener => listener.finished(end), true)
+      connection.receiveSwapped()
+      connection.receive(listener => listener.finished(end), true)
     },
-    failed: failure => connection.hear(listener => listener.failed(failure), true)
+    failed: failure => connection.receive(listener => listener.failed(failure), true)
   }
 }
--- a/packages/foxtaillever-proof/src/world/entry.ts
+++ b/packages/foxtaillever-proof/src/world/entry.ts
@@ -1,13 +1,13 @@
 /**
  * One simulated entry instance: the real router core, claims, lease and log
- * reader, on a clock of its own.
+ * reader, with its own clock.
  */
 import { SeededRandom, type Engine, type ListedInstance } from 'foxtaillever-core'
 import { ClaimFold, ClaimKeeper, ConfigurationStore, defaultClaimOptions, LeaseFold, LeaseHolder, LogReader, LEASE_MARGIN_MS, SnapshotWriter, type FoldedConfiguration } from 'foxtaillever-fleet'
 import { Invariants, RouterCore, Safeguard, type Safeguards } from 'foxtaillever-router'
 import { LocalLog, type LogModel } from 'foxtaillever-standins'
 import type { VirtualClock } from 'foxtaillever-testing/virtualClock'
-import { HeldClock, type ClockError } from './heldClock.js'
+import { PausableClock, type ClockError } from './pausableClock.js'
 
 export interface EntryOptions {
   readonly name: string
@@ -17,28 +17,28 @@
   readonly logModel: LogModel
   readonly clockError: ClockError
   readonly safeguards: Safeguards
-  readonly engineOf: (name: string, clock: HeldClock) => Engine
+  readonly engineOf: (name: string, clock: PausableClock) => Engine
   readonly listOf: () => readonly ListedInstance[]
   readonly engines: readonly string[]
-  /** Configurations of the peers that can be reached. */
-  readonly copies: () => readonly FoldedConfiguration[]
+  /** Configurations of the reachable peers. */
+  readonly peerConfigurations: () => readonly FoldedConfiguration[]
   readonly retentionMs: number
-  /** An order leaves for a backend server under this fencing number. */
+  /** Called when an order is sent to a backend server under this fencing number. */
   readonly onOrder: (fence: number) => void
 }
 
-const LOOK_MS = 500
-const ORDER_MS = 200
+const POLL_INTERVAL_MS = 500
+const ORDER_INTERVAL_MS = 200
 
 export class Entry {
-  readonly clock: HeldClock
+  readonly clock: PausableClock
   readonly core: RouterCore
   readonly log: LocalLog
   readonly holder: LeaseHolder
   readonly store = ConfigurationStore.create()
   isPaused = false
   /** True time, milliseconds. */
-  wokenAt = 0
+  resumedAt = 0
   isDead = false
   private readonly random
   private readonly snapshots: SnapshotWriter
@@ -47,7 +47,7 @@
 
   private constructor (readonly options: EntryOptions) {
     const { world, logModel, clockError, safeguards, name, incarnation, seed, retentionMs } = options
-    this.clock = HeldClock.create(world, clockError)
+    this.clock = PausableClock.create(world, clockError)
     this.random = SeededRandom.create(seed)
     this.log = LocalLog.create(logModel, this.clock, world)
     const fold = ClaimFold.create({ keptMs: retentionMs, logRetentionMs: retentionMs })
@@ -63,7 +63,7 @@
       failureDomain: 'recife',
       engineOf: server => this.engineOf(server.name),
       claims,
-      // The oracle alone judges; it must not be helped by the program's own checks.
+      // Only the oracle detects violations; the program's own checks must not do it in its place.
       invariants: Invariants.create(),
       safeguards
     })
@@ -84,9 +84,9 @@
   start (): void {
     this.reader.start()
     this.core.start()
-    this.look()
-    // Otherwise the instance with the fastest clock would always be first.
-    this.clock.at(this.clock.now() + this.random.below(ORDER_MS), () => this.giveOrders())
+    this.poll()
+    // A random first delay; otherwise the instance with the fastest clock would always get the lease first.
+    this.clock.at(this.clock.now() + this.random.below(ORDER_INTERVAL_MS), () => this.sendOrder())
   }
 
   private engineOf (name: string): Engine {
@@ -95,21 +95,21 @@
     return engine
   }
 
-  /** Reads the instance list, a peer's configuration and the engines' load, again and again. */
-  private look (): void {
+  /** Periodically reads the instance list, the configurations of peers and the load of engines. */
+  private poll (): void {
     this.core.observeList(this.options.listOf())
-    this.options.copies().forEach(copy => this.store.offer(copy))
+    this.options.peerConfigurations().forEach(copy => this.store.offer(copy))
     for (const name of this.options.engines) {
       this.engineOf(name).load().then(report => report.ifRight(load => !this.isDead && this.core.observeLoad(name, load)))
     }
-    this.clock.at(this.clock.now() + LOOK_MS, () => this.look())
+    this.clock.at(this.clock.now() + POLL_INTERVAL_MS, () => this.poll())
   }
 
-  private giveOrders (): void {
+  private sendOrder (): void {
     this.holder.tick(this.clock.now())
     this.snapshots.tick()
     this.holder.check().ifRight(fence => this.options.onOrder(fence))
-    this.clock.at(this.clock.now() + ORDER_MS, () => this.giveOrders())
+    this.clock.at(this.clock.now() + ORDER_INTERVAL_MS, () => this.sendOrder())
   }
 
   offset (): number {
@@ -121,10 +121,10 @@
     this.clock.pause()
   }
 
-  wake (): void {
+  resume (): void {
     this.isPaused = false
-    this.wokenAt = this.options.world.now()
-    this.clock.wake()
+    this.resumedAt = this.options.world.now()
+    this.clock.resume()
   }
 
   kill (): void {
--- a/packages/foxtaillever-proof/src/world/heldClock.ts
+++ b/packages/foxtaillever-proof/src/world/pausableClock.ts
@@ -1,7 +1,7 @@
 /**
  * The clock of one simulated process. It may run a little fast or slow and be
- * off by some seconds; while the process is paused its tasks wait, and after
- * its death nothing runs any more.
+ * off by some seconds. While the process is paused, its tasks wait; after the
+ * process is killed, no task runs any more.
  */
 import type { Cancellation, Clock } from 'foxtaillever-core'
 
@@ -12,9 +12,9 @@
   readonly rate: number
 }
 
-export class HeldClock implements Clock {
+export class PausableClock implements Clock {
   private readonly origin: number
-  private held: Array<() => void> = []
+  private pendingTasks: Array<() => void> = []
   private isPaused = false
   private isDead = false
 
@@ -22,32 +22,32 @@
     this.origin = world.now()
   }
 
-  static create (world: Clock, error: ClockError): HeldClock {
-    return new HeldClock(world, error)
+  static create (world: Clock, error: ClockError): PausableClock {
+    return new PausableClock(world, error)
   }
 
   now (): number {
     return this.origin + this.error.offsetMs + (this.world.now() - this.origin) * this.error.rate
   }
 
-  /** True time at which this clock will show the instant. */
-  toWorld (instant: number): number {
+  /** Converts an instant of this clock to true time. */
+  toTrueTime (instant: number): number {
     return this.origin + (instant - this.origin - this.error.offsetMs) / this.error.rate
   }
 
   at (deadline: number, task: () => void): Cancellation {
-    return this.atWorld(Math.max(this.world.now(), this.toWorld(deadline)), task)
+    return this.atTrueTime(Math.max(this.world.now(), this.toTrueTime(deadline)), task)
   }
 
-  /** As `at`, for an instant of true time: when something arrives from outside. */
-  atWorld (deadline: number, task: () => void): Cancellation {
+  /** Like `at`, but for an instant of true time, such as the arrival of a message. */
+  atTrueTime (deadline: number, task: () => void): Cancellation {
     let isCancelled = false
     const run = (): void => {
       if (!isCancelled && !this.isDead) {
         task()
       }
     }
-    const cancel = this.world.at(deadline, () => this.isPaused ? this.held.push(run) : run())
+    const cancel = this.world.at(deadline, () => this.isPaused ? this.pendingTasks.push(run) : run())
     return () => {
       isCancelled = true
       cancel()
@@ -58,16 +58,16 @@
     this.isPaused = true
   }
 
-  /** All that waited runs at once, in the order in which it became due. */
-  wake (): void {
+  /** Runs all waiting tasks at once, in the order in which they became due. */
+  resume (): void {
     this.isPaused = false
-    const tasks = this.held
-    this.held = []
+    const tasks = this.pendingTasks
+    this.pendingTasks = []
     tasks.forEach(task => task())
   }
 
   kill (): void {
     this.isDead = true
-    this.held = []
+    this.pendingTasks = []
   }
 }
--- a/packages/foxtaillever-proof/src/world/world.ts
+++ b/packages/foxtaillever-proof/src/world/world.ts
@@ -1,21 +1,21 @@
 /**
  * A small deployment under one virtual clock: a log, engines, entry instances
- * and callers, with every fault of the brief as a method. Everything random is
- * drawn from the seed.
+ * and callers, with a method for each fault. Everything random is drawn from
+ * the seed.
  */
 import { FailureCode, ListedKind, ListedState, PresetName, RecordKind, SeededRandom, type Engine, type StreamEnd } from 'foxtaillever-core'
 import { ChangeKind } from 'foxtaillever-fleet'
 import { allSafeguards, type Responder, type Safeguards, type StreamPosition, type Submission } from 'foxtaillever-router'
 import { InstanceListModel, LogModel } from 'foxtaillever-standins'
 import { VirtualClock } from 'foxtaillever-testing/virtualClock'
-import { LAST_WORD_MS, Oracle, Promised, type Sending } from '../oracle/oracle.js'
-import { createFirstChanges } from './deploymentOf.js'
+import { FINAL_EVENT_GRACE_MS, Oracle, OraclePromise, type SentRequest } from '../oracle/oracle.js'
+import { createFirstChanges } from './createFirstChanges.js'
 import { EngineHost } from './engineHost.js'
 import { EnginePort } from './enginePort.js'
 import { Entry } from './entry.js'
-import type { HeldClock } from './heldClock.js'
-import { OrderWatch } from './orderWatch.js'
-import { createSubmission, type Wish } from './wish.js'
+import type { PausableClock } from './pausableClock.js'
+import { OrderMonitor } from './orderMonitor.js'
+import { createSubmission, type CallerRequest } from './callerRequest.js'
 
 export interface WorldOptions {
   readonly seed: number
@@ -25,22 +25,22 @@
 }
 
 export const RETENTION_MS = 150_000
-/** Clocks of instances run this slow at worst, and as much too fast; far worse than real ones. */
-const SLOWEST_RATE = 0.93
+/** Rate of the slowest clock of an instance; the fastest is as much too fast. Real clocks are far more accurate. */
+const MIN_CLOCK_RATE = 0.93
 
-const WARMING_DRAWS = 16
+const WARM_UP_DRAWS = 16
 
-/** A caller that came back waits this long, milliseconds. */
-const RECONNECT_MS = 5000
+/** How long a caller waits for its answer after a reconnect, milliseconds. */
+const RECONNECT_TIMEOUT_MS = 5000
 
 const LIST_LAG_MS = 1500
 const APPENDS_PER_SECOND = 300
 
-/** Lets what was accepted come to its end, milliseconds; longer than any deadline. */
-const REST_MS = 12_000
+/** How long the world waits for accepted requests to end, milliseconds; longer than any deadline. */
+const FINAL_WAIT_MS = 12_000
 
-/** A slow reader takes a token in this time, milliseconds. */
-const SLOW_READ_MS = 40
+/** How long a slow reader takes to read a token, milliseconds. */
+const SLOW_READ_INTERVAL_MS = 40
 
 export class World {
   readonly clock = VirtualClock.create(1_700_000_000_000)
@@ -49,21 +49,21 @@
   readonly list = InstanceListModel.create(LIST_LAG_MS, this.clock)
   readonly entries: Entry[] = []
   readonly engines: EngineHost[] = []
-  readonly positions: Array<{ sending: Sending, position: StreamPosition, submission: Submission }> = []
+  readonly positions: Array<{ sentRequest: SentRequest, position: StreamPosition, submission: Submission }> = []
   /** True time at which the world began, milliseconds. */
   readonly startedAt = this.clock.now()
   private readonly random
   private readonly safeguards: Safeguards
-  private readonly orders = OrderWatch.create(this.log, this.oracle)
-  private started = 0
-  private records = 0
-  /** Refusals that an instance has heard: instance, engine and the engine's crashes so far. */
-  private readonly heardLeaving = new Set<string>()
+  private readonly orderMonitor = OrderMonitor.create(this.log, this.oracle)
+  private nextNumber = 0
+  private raceCount = 0
+  /** Refusals by leaving engines that instances received: instance, engine, and number of crashes of the engine. */
+  private readonly knownLeaving = new Set<string>()
 
   private constructor (private readonly options: WorldOptions) {
     this.random = SeededRandom.create(options.seed)
-    // The first draws of neighbouring seeds are alike.
-    Array.from({ length: WARMING_DRAWS }, () => this.random.next())
+    // Skips the first draws, because they are alike for neighbouring seeds.
+    Array.from({ length: WARM_UP_DRAWS }, () => this.random.next())
     this.safeguards = options.safeguards ?? allSafeguards
   }
 
@@ -74,7 +74,7 @@
     for (let index = 0; index < options.entries; index++) {
       world.entries.push(world.createEntry(index))
     }
-    await world.pass(100)
+    await world.advanceBy(100)
     return world
   }
 
@@ -84,7 +84,7 @@
       this.list.setInstance({ name, kind: ListedKind.BackendServer, address: name, failureDomain: 'recife', state: ListedState.Live })
       this.engines.push(EngineHost.create({
         name, models: ['order-language'], weightsVersion: 'v1', slots: 4, prefillTokensPerSecond: 20_000, decodeTokensPerSecond: 20, cacheTokens: 4096, cacheKeptMs: 10_000
-      }, this.clock, run => this.oracle.ran(run)))
+      }, this.clock, run => this.oracle.recordRun(run)))
     }
   }
 
@@ -92,134 +92,134 @@
     const name = `entry-${index}`
     const entry = Entry.create({
       name,
-      incarnation: `${name}/${this.started++}`,
+      incarnation: `${name}/${this.nextNumber++}`,
       seed: this.random.below(2 ** 31),
       world: this.clock,
       logModel: this.log,
-      clockError: { offsetMs: this.random.below(4000) - 2000, rate: SLOWEST_RATE + this.random.next() * 2 * (1 - SLOWEST_RATE) },
+      clockError: { offsetMs: this.random.below(4000) - 2000, rate: MIN_CLOCK_RATE + this.random.next() * 2 * (1 - MIN_CLOCK_RATE) },
       safeguards: this.safeguards,
       engineOf: (engine, clock) => this.connect(name, engine, clock),
       listOf: () => this.list.list(),
       engines: this.engines.map(engine => engine.options.name),
-      copies: () => this.entries.filter(entry => !entry.isDead && !entry.isPaused).map(({ store }) => store.current()),
+      peerConfigurations: () => this.entries.filter(entry => !entry.isDead && !entry.isPaused).map(({ store }) => store.current()),
       retentionMs: RETENTION_MS,
-      onOrder: fence => this.orders.check(name, fence)
+      onOrder: fence => this.orderMonitor.check(name, fence)
     })
     entry.start()
     return entry
   }
 
-  private connect (entry: string, engine: string, clock: HeldClock): Engine {
+  private connect (entry: string, engine: string, clock: PausableClock): Engine {
     const host = this.engines.find(({ options }) => options.name === engine)
     if (!host) {
       throw new Error(`No engine ${engine}.`)
     }
     return EnginePort.create(host, this.clock, clock, {
-      refused: (name, crashes, failure) => {
+      onRefusal: (name, crashes, failure) => {
         if (failure.code === FailureCode.Leaving) {
-          this.heardLeaving.add(`${entry} ${name} ${crashes}`)
+          this.knownLeaving.add(`${entry} ${name} ${crashes}`)
         }
       },
-      called: (name, crashes) => this.oracle.expect(Promised.OwnWordAtOnce, !this.heardLeaving.has(`${entry} ${name} ${crashes}`), () => `${entry} sent to ${name}`)
+      onCall: (name, crashes) => this.oracle.expect(OraclePromise.OwnStatementAtOnce, !this.knownLeaving.has(`${entry} ${name} ${crashes}`), () => `${entry} sent to ${name}`)
     })
   }
 
-  async pass (milliseconds: number): Promise<void> {
+  async advanceBy (milliseconds: number): Promise<void> {
     await this.clock.advanceBy(milliseconds)
     this.oracle.checkDeadlines(this.clock.now(), name => this.wasPaused(name))
   }
 
-  /** Paused now, or awake for so short a time that its answers may still come. */
+  /** Whether an instance is paused, or was resumed so recently that its answers may still come. */
   private wasPaused (name: string): boolean {
     const entry = this.entries.find(({ options }) => options.name === name)
-    return entry !== undefined && (entry.isPaused || entry.wokenAt + LAST_WORD_MS > this.clock.now())
+    return entry !== undefined && (entry.isPaused || entry.resumedAt + FINAL_EVENT_GRACE_MS > this.clock.now())
   }
 
-  send (wish: Wish): void {
-    const entry = this.entries[wish.entry]
+  send (callerRequest: CallerRequest): void {
+    const entry = this.entries[callerRequest.entry]
     if (!entry || entry.isDead) {
       return
     }
-    const id = `request-${this.oracle.sendings.length}`
-    const prompt = `Feed order ${wish.prompt} for ${wish.account} `.repeat(8)
-    const sending: Sending = {
+    const id = `request-${this.oracle.sentRequests.length}`
+    const prompt = `Feed order ${callerRequest.prompt} for ${callerRequest.account} `.repeat(8)
+    const sentRequest: SentRequest = {
       id,
-      account: wish.account,
-      idempotencyKey: wish.idempotencyKey ?? '',
+      account: callerRequest.account,
+      idempotencyKey: callerRequest.idempotencyKey ?? '',
       prompt,
-      tokens: wish.tokens,
+      tokens: callerRequest.tokens,
       entry: entry.options.name,
-      deadline: this.clock.now() + wish.timeoutMs / SLOWEST_RATE,
+      deadline: this.clock.now() + callerRequest.timeoutMs / MIN_CLOCK_RATE,
       received: [],
-      lastWords: 0,
+      finalEvents: 0,
       failure: undefined,
       isWhole: false,
       isExcused: false
     }
-    this.oracle.sendings.push(sending)
-    const submission = createSubmission(sending, wish, entry.clock.now())
-    const responder = this.createResponder(sending, submission, entry, wish.isSlowReader)
-    entry.clock.atWorld(this.clock.now() + 1, () => entry.core.submit(submission, responder))
+    this.oracle.sentRequests.push(sentRequest)
+    const submission = createSubmission(sentRequest, callerRequest, entry.clock.now())
+    const responder = this.createResponder(sentRequest, submission, entry, callerRequest.isSlowReader)
+    entry.clock.atTrueTime(this.clock.now() + 1, () => entry.core.submit(submission, responder))
   }
 
-  private createResponder (sending: Sending, submission: Submission, entry: Entry, isSlowReader: boolean): Responder {
+  private createResponder (sentRequest: SentRequest, submission: Submission, entry: Entry, isSlowReader: boolean): Responder {
     return {
-      started: (_start, position) => { this.positions.push({ sending, submission, position }) },
-      moved: position => { this.positions.push({ sending, submission, position }) },
+      started: (_start, position) => { this.positions.push({ sentRequest, submission, position }) },
+      moved: position => { this.positions.push({ sentRequest, submission, position }) },
       token: (sequence, data) => {
-        this.oracle.token(sending, sequence, data)
+        this.oracle.checkToken(sentRequest, sequence, data)
         if (isSlowReader) {
-          entry.clock.at(entry.clock.now() + SLOW_READ_MS, () => entry.core.drained(submission.job.id))
+          entry.clock.at(entry.clock.now() + SLOW_READ_INTERVAL_MS, () => entry.core.drained(submission.job.id))
         }
         return !isSlowReader
       },
-      finished: (end: StreamEnd) => this.oracle.finished(sending, end),
-      failed: failure => this.oracle.failed(sending, failure)
+      finished: (end: StreamEnd) => this.oracle.recordFinish(sentRequest, end),
+      failed: failure => this.oracle.recordFailure(sentRequest, failure)
     }
   }
 
   abandon (index: number): void {
-    const sending = this.oracle.sendings[index]
-    const entry = this.entries.find(({ options }) => options.name === sending?.entry)
-    if (sending && entry && sending.lastWords === 0) {
-      sending.isExcused = true
-      entry.core.abandon(sending.id)
+    const sentRequest = this.oracle.sentRequests[index]
+    const entry = this.entries.find(({ options }) => options.name === sentRequest?.entry)
+    if (sentRequest && entry && sentRequest.finalEvents === 0) {
+      sentRequest.isExcused = true
+      entry.core.abandon(sentRequest.id)
     }
   }
 
-  /** A caller whose instance died takes its stream up through another one. */
-  reconnect (index: number, through: number): void {
-    const lost = this.positions[index]
-    const entry = this.entries[through]
-    if (!lost || !entry || entry.isDead || !lost.sending.isExcused || lost.sending.lastWords > 0) {
+  /** A caller whose instance died resumes its stream through another instance. */
+  reconnect (index: number, entryIndex: number): void {
+    const lostStream = this.positions[index]
+    const entry = this.entries[entryIndex]
+    if (!lostStream || !entry || entry.isDead || !lostStream.sentRequest.isExcused || lostStream.sentRequest.finalEvents > 0) {
       return
     }
-    const { sending, submission, position } = lost
-    const id = `${sending.id}~${this.started++}`
-    const job = { ...submission.job, id, idempotent: false, deadline: entry.clock.now() + RECONNECT_MS }
-    const again = { ...submission, job }
-    sending.isExcused = false
-    sending.entry = entry.options.name
-    sending.deadline = this.clock.now() + RECONNECT_MS / SLOWEST_RATE
-    entry.core.takeUp(again, { ...position, after: sending.received.length }, this.createResponder(sending, again, entry, false))
+    const { sentRequest, submission, position } = lostStream
+    const id = `${sentRequest.id}~${this.nextNumber++}`
+    const job = { ...submission.job, id, idempotent: false, deadline: entry.clock.now() + RECONNECT_TIMEOUT_MS }
+    const reconnection = { ...submission, job }
+    sentRequest.isExcused = false
+    sentRequest.entry = entry.options.name
+    sentRequest.deadline = this.clock.now() + RECONNECT_TIMEOUT_MS / MIN_CLOCK_RATE
+    entry.core.takeUp(reconnection, { ...position, after: sentRequest.received.length }, this.createResponder(sentRequest, reconnection, entry, false))
   }
 
   crashEntry (index: number): void {
     const entry = this.entries[index]
     if (entry && !entry.isDead) {
       entry.kill()
-      this.excuse(entry.options.name)
+      this.excuseCallers(entry.options.name)
     }
   }
 
-  /** Its callers see their connections break; nothing more is owed to them. */
-  private excuse (name: string): void {
-    this.oracle.sendings
-      .filter(sending => sending.entry === name && sending.lastWords === 0)
-      .forEach(sending => { sending.isExcused = true })
-    // A restarted instance has forgotten who refused it.
-    const forgotten = [...this.heardLeaving].filter(heard => heard.startsWith(`${name} `))
-    forgotten.forEach(heard => this.heardLeaving.delete(heard))
+  /** The instance's callers lose their connections; the oracle expects no more answers for them. */
+  private excuseCallers (name: string): void {
+    this.oracle.sentRequests
+      .filter(sentRequest => sentRequest.entry === name && sentRequest.finalEvents === 0)
+      .forEach(sentRequest => { sentRequest.isExcused = true })
+    // A restarted instance doesn't know which engines refused its requests before.
+    const forgottenRefusals = [...this.knownLeaving].filter(refusal => refusal.startsWith(`${name} `))
+    forgottenRefusals.forEach(refusal => this.knownLeaving.delete(refusal))
   }
 
   restartEntry (index: number): void {
@@ -243,12 +243,12 @@
     }
   }
 
-  /** The holder of the lease loses the log but still reaches the backend servers. */
-  async cutHolder (milliseconds: number): Promise<void> {
+  /** Cuts the lease holder off from the log; it still reaches the backend servers. */
+  async partitionHolder (milliseconds: number): Promise<void> {
     const holder = this.entries.find(entry => !entry.isDead && entry.holder.isHeld())
     if (holder) {
       holder.log.isPartitioned = true
-      await this.pass(milliseconds)
+      await this.advanceBy(milliseconds)
       holder.log.isPartitioned = false
     }
   }
@@ -257,12 +257,12 @@
   raceOperators (base: number, first: PresetName, second: PresetName): void {
     [first, second].forEach((name, author) => {
       const body = { base, author: `operator-${author}`, changes: [{ kind: ChangeKind.SwitchPreset, name }] }
-      this.log.append({ id: `race-${this.records++}`, kind: RecordKind.Configuration, writtenAt: this.clock.now(), body })
+      this.log.append({ id: `race-${this.raceCount++}`, kind: RecordKind.Configuration, writtenAt: this.clock.now(), body })
     })
   }
 
-  /** Ends all faults, lets everything come to rest and asks the last questions. */
-  async rest (): Promise<void> {
+  /** Ends all faults, waits until all requests have ended and runs the final checks. */
+  async endFaultsAndCheck (): Promise<void> {
     this.log.setFaults({ outage: false, slownessMs: 0, lostAnswers: 0 })
     this.engines.forEach(engine => engine.setDown(false))
     this.entries.forEach((entry, index) => {
@@ -270,13 +270,13 @@
       if (entry.isDead) {
         this.restartEntry(index)
       } else if (entry.isPaused) {
-        entry.wake()
+        entry.resume()
       }
     })
-    await this.pass(REST_MS)
+    await this.advanceBy(FINAL_WAIT_MS)
     this.oracle.checkNotRun()
     const revisions = new Set(this.entries.map(({ store }) => store.configuration().revision))
-    this.oracle.expect(Promised.SameConfiguration, revisions.size === 1, () => [...revisions].join(', '))
+    this.oracle.expect(OraclePromise.SameConfiguration, revisions.size === 1, () => [...revisions].join(', '))
     this.entries.forEach(entry => entry.kill())
   }
 }
