--- a/packages/foxtaillever/src/__tests__/dayReport.test.ts
+++ b/packages/foxtaillever/src/__tests__/dayReport.test.ts
@@ -4,7 +4,7 @@
 import { describe, it } from 'foxtaillever-testing'
 import { runCommand } from '../__fixtures__/runCommand.js'
 import { DayCounts, RequestEnd } from '../logs/dayCounts.js'
-import type { LogLine } from '../logs/logStory.js'
+import type { LogLine } from '../logs/readLogs.js'
 
 function line (second: number, msg: string, fields: object = {}, instance = 'entry-1'): LogLine {
   return { time: new Date(Date.UTC(2030, 0, 1) + second * 1000).toISOString(), instance, msg, ...fields }
@@ -22,25 +22,25 @@
   line(2.3, 'callers: Refused a request.', { code: 'unauthenticated' })
 ]
 
-describe('the report of a day', () => {
-  describe('what it counts', () => {
-    it('has the lines that were written and those that were left out', t => {
+describe('DayCounts and the report of a day', () => {
+  describe('counts', () => {
+    it('include the lines that were written and those that were left out', t => {
       const counts = DayCounts.of(day)
       t.is(counts.seconds.get(1)?.ends[RequestEnd.Answered], 25)
       t.deepEqual(counts.seconds.get(1)?.times, [40, 60])
       t.is(counts.seconds.get(2)?.ends[RequestEnd.Failed], 1)
       t.is(counts.seconds.get(2)?.ends[RequestEnd.Refused], 1)
-      t.is(counts.seconds.get(2)?.failedTries.get('refused'), 1)
+      t.is(counts.seconds.get(2)?.failedAttempts.get('refused'), 1)
       t.deepEqual([...counts.reasons], [['overloaded', 1], ['unauthenticated', 1]])
     })
 
-    it('tells a belief of many instances once, with their number', t => {
-      t.deepEqual(DayCounts.of(day).allBeliefs().at(-1), { second: 0, text: 'A configuration is in force. revision=3', instances: 2 })
+    it('list a state change of several instances once, with their number', t => {
+      t.deepEqual(DayCounts.of(day).listStateChanges().at(-1), { second: 0, text: 'A configuration is in force. revision=3', instanceCount: 2 })
     })
   })
 
-  describe('the command', () => {
-    it('writes one file with plots, and says which lines it could not read', async t => {
+  describe('command', () => {
+    it('writes one file with plots and the number of malformed lines', async t => {
       const folder = await mkdtemp(join(tmpdir(), 'foxtaillever-'))
       const [log, report] = [join(folder, 'a.log'), join(folder, 'day.html')]
       await writeFile(log, [...day.map(entry => JSON.stringify(entry)), 'not a line', ''].join('\n'))
@@ -53,7 +53,7 @@
       t.regex(html, /<td>answered<\/td><td>25<\/td>/)
     })
 
-    it('writes nothing for logs without a line', async t => {
+    it('fails on logs without a line of an instance', async t => {
       const folder = await mkdtemp(join(tmpdir(), 'foxtaillever-'))
       const log = join(folder, 'a.log')
       await writeFile(log, 'nothing\n')
--- a/packages/foxtaillever/src/__tests__/logStory.test.ts
+++ b/packages/foxtaillever/src/__tests__/logCommands.test.ts
@@ -9,7 +9,7 @@
   return JSON.stringify({ level: 30, time: `2030-01-01T00:00:${time}Z`, instance, ...fields, msg })
 }
 
-/** Two instances; a server drains, and a request fails at the one that hears of it late. */
+/** Logs of two instances that learn at different times that a server is draining, and of a request to it that fails. */
 async function writeLogs (): Promise<readonly string[]> {
   const folder = await mkdtemp(join(tmpdir(), 'foxtaillever-'))
   const files = [join(folder, 'one.log'), join(folder, 'two.log')]
@@ -24,8 +24,8 @@
   return files
 }
 
-describe('logs', () => {
-  it('of many instances tell the story of one request, malformed lines counted', async t => {
+describe('commands that read logs', () => {
+  it('explain one request from the logs of several instances and count malformed lines', async t => {
     const { code, out } = await runCommand(['explain', 'r1', '--logs', ...await writeLogs()])
     t.is(code, ExitCode.Done)
     t.is(out, [
@@ -37,22 +37,22 @@
     t.is((await runCommand(['explain', 'r2', '--logs', ...await writeLogs()])).code, ExitCode.Different)
   })
 
-  it('tell since when each instance believed something', async t => {
+  it('list when each instance logged a state change', async t => {
     const { out } = await runCommand(['timeline', '--about', 'i-1', '--json', ...await writeLogs()])
     const { lines, malformed } = JSON.parse(out) as { lines: Array<{ instance: string }>, malformed: number }
     t.deepEqual(lines.map(({ instance }) => instance), ['one', 'two'])
     t.is(malformed, 3)
   })
 
-  // Logs usually come through a collector, which writes a time and a host before each line.
-  it('may have a prefix of whoever collected them', async t => {
+  // Log collectors usually write a time and a host name before each line.
+  it('accept lines with the prefix of a log collector', async t => {
     const file = join(await mkdtemp(join(tmpdir(), 'foxtaillever-')), 'collected.log')
     await writeFile(file, `12:00:01 host-7 ${lineOf('01.000', 'one', 'fleet: A configuration is in force.', { revision: 4 })}\n`)
     const { out } = await runCommand(['timeline', '--json', file])
     t.is((JSON.parse(out) as { lines: unknown[] }).lines.length, 1)
   })
 
-  it('are not needed to check a settings file', async t => {
+  it('need no logs to check a settings file', async t => {
     const file = join(await mkdtemp(join(tmpdir(), 'foxtaillever-')), 'node.json')
     await writeFile(file, '{"node": 5}')
     const { code, out } = await runCommand(['settings', 'check', file])
--- a/packages/foxtaillever/src/commands/explain.ts
+++ b/packages/foxtaillever/src/commands/explain.ts
@@ -3,11 +3,11 @@
 import { ExitCode } from '../exitCode.js'
 import { formatExplanation } from '../format/formatExplanation.js'
 import { formatJson } from '../format/formatJson.js'
-import { beliefsAround, formatStory, isAboutRequest, isBelief, readLogs } from '../logs/logStory.js'
+import { selectStateChangesAround, formatLog, isAboutRequest, isStateChange, readLogs } from '../logs/readLogs.js'
 import { OperatorCommand } from '../operatorCommand.js'
 
-/** Beliefs that explain a request are seldom older, milliseconds. */
-const BEFORE_MS = 3000
+/** How long before a request state changes are shown, milliseconds; older ones seldom explain it. */
+const LOOKBACK_MS = 3000
 
 export class ExplainCommand extends OperatorCommand {
   static override paths = [['explain']]
@@ -30,28 +30,28 @@
       const answers = await connection.askAll(async client => await client.explain(this.requestId))
       return answers.map(list => {
         const found = list.flatMap(({ answer }) => answer.caseOf<readonly Explanation[]>({ Left: () => [], Right: explanation => [explanation] }))
-        return found.length > 0 ? this.print(found, () => found.map(formatExplanation).join('\n')) : this.tellNothing(list.length)
+        return found.length > 0 ? this.print(found, () => found.map(formatExplanation).join('\n')) : this.reportNotFound(list.length)
       })
     })
   }
 
   private async explainFromLogs (): Promise<ExitCode> {
     const isRequest = isAboutRequest(this.requestId)
-    const isKnown = isBelief('')
-    const { lines, malformed } = await readLogs(this.files, line => isRequest(line) || isKnown(line))
+    const isAnyStateChange = isStateChange('')
+    const { lines, malformed } = await readLogs(this.files, line => isRequest(line) || isAnyStateChange(line))
     const request = lines.filter(isRequest)
     if (request.length === 0) {
       this.context.stderr.write(`No line of these logs is about ${this.requestId}; ${malformed} lines could not be read. Of successes ten a second are logged, of failures 200.\n`)
       return ExitCode.Different
     }
-    const beliefs = new Set(beliefsAround(lines.filter(isKnown), request, BEFORE_MS))
-    const story = { lines: lines.filter(line => isRequest(line) || beliefs.has(line)), malformed }
-    this.context.stdout.write(this.json ? formatJson(story) : formatStory(story))
+    const stateChanges = new Set(selectStateChangesAround(lines.filter(isAnyStateChange), request, LOOKBACK_MS))
+    const story = { lines: lines.filter(line => isRequest(line) || stateChanges.has(line)), malformed }
+    this.context.stdout.write(this.json ? formatJson(story) : formatLog(story))
     return ExitCode.Done
   }
 
-  private tellNothing (asked: number): ExitCode {
-    this.context.stderr.write(`None of ${asked} instances has a record of ${this.requestId}: it is too old, its instance was replaced, or the id is not the one of the answer's x-request-id header.\n`)
+  private reportNotFound (instanceCount: number): ExitCode {
+    this.context.stderr.write(`None of ${instanceCount} instances has a record of ${this.requestId}: it is too old, its instance was replaced, or the id is not the one of the answer's x-request-id header.\n`)
     return ExitCode.Different
   }
 }
--- a/packages/foxtaillever/src/commands/reportDay.ts
+++ b/packages/foxtaillever/src/commands/reportDay.ts
@@ -3,7 +3,7 @@
 import { ExitCode } from '../exitCode.js'
 import { createDayReport } from '../logs/createDayReport.js'
 import { DayCounts } from '../logs/dayCounts.js'
-import { readLogs } from '../logs/logStory.js'
+import { readLogs } from '../logs/readLogs.js'
 
 export class ReportDayCommand extends Command {
   static override paths = [['report', 'day']]
--- a/packages/foxtaillever/src/commands/timeline.ts
+++ b/packages/foxtaillever/src/commands/timeline.ts
@@ -1,7 +1,7 @@
 import { Command, Option } from 'clipanion'
 import { ExitCode } from '../exitCode.js'
 import { formatJson } from '../format/formatJson.js'
-import { formatStory, isBelief, readLogs } from '../logs/logStory.js'
+import { formatLog, isStateChange, readLogs } from '../logs/readLogs.js'
 
 export class TimelineCommand extends Command {
   static override paths = [['timeline']]
@@ -17,8 +17,8 @@
   json = Option.Boolean('--json', false, { description: 'Answer with JSON, keys sorted.' })
 
   async execute (): Promise<ExitCode> {
-    const story = await readLogs(this.files, isBelief(this.about))
-    this.context.stdout.write(this.json ? formatJson(story) : formatStory(story))
+    const story = await readLogs(this.files, isStateChange(this.about))
+    this.context.stdout.write(this.json ? formatJson(story) : formatLog(story))
     return story.lines.length > 0 ? ExitCode.Done : ExitCode.Different
   }
 }
--- a/packages/foxtaillever/src/logs/dayCounts.ts
+++ b/packages/foxtaillever/src/logs/dayCounts.ts
@@ -1,13 +1,13 @@
 /**
- * What the logs of many instances say about a day, second by second: requests by
- * how they ended, how long they took, what servers did wrong, and what the
- * instances came to believe. Instances write ten lines of a sentence a second
- * and the number of those that they left out; both count here, so the load is
- * whole, while times are those of the lines that were written.
+ * Counts what the merged logs of many instances report for each second of a day:
+ * how requests ended, how long they took, failed attempts at backend servers, and
+ * state changes of the instances. An instance writes at most ten lines with the
+ * same message a second, then one line with the number that it left out. Both are
+ * counted, so request counts are complete; durations cover only written lines.
  */
-import { isBelief, type LogLine } from './logStory.js'
+import { isStateChange, type LogLine } from './readLogs.js'
 
-/** How a request ended, as the report tells it. */
+/** How a request ended, in the words of the report. */
 export enum RequestEnd {
   Answered = 'answered',
   Failed = 'failed',
@@ -15,51 +15,51 @@
   CallerGone = 'caller left'
 }
 
-const endOfSentence: Readonly<Record<string, RequestEnd>> = {
+const endByMessage: Readonly<Record<string, RequestEnd>> = {
   'requests: Ended: answered.': RequestEnd.Answered,
   'requests: Ended: failed.': RequestEnd.Failed,
   'requests: Ended: caller-gone.': RequestEnd.CallerGone,
   'callers: Refused a request.': RequestEnd.Refused
 }
 
-const FAILED_TRY = 'requests: A try failed.'
-const LEFT_OUT = ' (further lines left out)'
+const FAILED_ATTEMPT = 'requests: A try failed.'
+const LEFT_OUT_SUFFIX = ' (further lines left out)'
 
-/** A sentence about a belief, with how many instances wrote it in a second. */
-export interface Belief {
+/** A logged change of what instances hold as state (configuration, server states, leases), with the number of lines that report it in one second. */
+export interface StateChange {
   readonly second: number
   readonly text: string
-  instances: number
+  instanceCount: number
 }
 
-export interface Second {
+export interface SecondCounts {
   readonly ends: Record<RequestEnd, number>
-  readonly failedTries: Map<string, number>
-  /** Of the requests whose lines were written, milliseconds. */
+  readonly failedAttempts: Map<string, number>
+  /** Durations of answered requests whose lines were written, milliseconds. */
   readonly times: number[]
 }
 
-function createSecond (): Second {
-  return { ends: { [RequestEnd.Answered]: 0, [RequestEnd.Failed]: 0, [RequestEnd.Refused]: 0, [RequestEnd.CallerGone]: 0 }, failedTries: new Map(), times: [] }
+function createSecondCounts (): SecondCounts {
+  return { ends: { [RequestEnd.Answered]: 0, [RequestEnd.Failed]: 0, [RequestEnd.Refused]: 0, [RequestEnd.CallerGone]: 0 }, failedAttempts: new Map(), times: [] }
 }
 
-function add<Key> (counts: Map<Key, number>, key: Key, count: number): void {
+function increaseCount<Key> (counts: Map<Key, number>, key: Key, count: number): void {
   counts.set(key, (counts.get(key) ?? 0) + count)
 }
 
-/** Fields that make a belief another one; servers and times are left out, or each line would be its own. */
-const tellingFields = ['revision', 'model', 'version', 'fence', 'state', 'topic', 'reason', 'code'] as const
+/** Fields that distinguish state changes. Servers and times are left out, or no two lines would be counted together. */
+const distinguishingFields = ['revision', 'model', 'version', 'fence', 'state', 'topic', 'reason', 'code'] as const
 
-function describeBelief (line: LogLine): string {
-  const fields = tellingFields.flatMap(name => line[name] === undefined ? [] : [`${name}=${String(line[name])}`])
+function describeStateChange (line: LogLine): string {
+  const fields = distinguishingFields.flatMap(name => line[name] === undefined ? [] : [`${name}=${String(line[name])}`])
   return [line.msg.replace(/^\w+: /, ''), ...fields].join(' ')
 }
 
 export class DayCounts {
-  readonly seconds = new Map<number, Second>()
+  readonly seconds = new Map<number, SecondCounts>()
   /** Why requests were not served, by code or outcome. */
   readonly reasons = new Map<string, number>()
-  private readonly beliefs = new Map<string, Belief>()
+  private readonly stateChanges = new Map<string, StateChange>()
   private startMs: number | undefined
 
   private constructor () {}
@@ -71,7 +71,7 @@
   /** @param lines in the order of their times. */
   static of (lines: readonly LogLine[]): DayCounts {
     const counts = DayCounts.create()
-    lines.forEach(line => counts.take(line))
+    lines.forEach(line => counts.addLine(line))
     return counts
   }
 
@@ -80,55 +80,55 @@
     return this.startMs ?? 0
   }
 
-  /** In the order of time. */
-  allBeliefs (): readonly Belief[] {
-    return [...this.beliefs.values()]
+  /** Returns the state changes in order of time. */
+  listStateChanges (): readonly StateChange[] {
+    return [...this.stateChanges.values()]
   }
 
-  take (line: LogLine): void {
+  addLine (line: LogLine): void {
     const at = Date.parse(line.time)
     this.startMs ??= at
     const second = Math.max(0, Math.floor((at - this.startMs) / 1000))
-    const isCount = line.msg.endsWith(LEFT_OUT)
-    const sentence = isCount ? line.msg.slice(0, -LEFT_OUT.length) : line.msg
-    const count = isCount ? Number(line.leftOut) || 0 : 1
-    const end = endOfSentence[sentence]
+    const isLeftOutCount = line.msg.endsWith(LEFT_OUT_SUFFIX)
+    const message = isLeftOutCount ? line.msg.slice(0, -LEFT_OUT_SUFFIX.length) : line.msg
+    const count = isLeftOutCount ? Number(line.leftOut) || 0 : 1
+    const end = endByMessage[message]
     if (end !== undefined) {
-      this.takeEnd(second, end, count, line)
-    } else if (sentence === FAILED_TRY) {
-      add(this.secondAt(second).failedTries, String(line.kind ?? 'unknown'), count)
-    } else if (!isCount && isBelief('')(line)) {
-      this.takeBelief(second, describeBelief(line))
+      this.addRequestEnd(second, end, count, line)
+    } else if (message === FAILED_ATTEMPT) {
+      increaseCount(this.getOrCreateSecond(second).failedAttempts, String(line.kind ?? 'unknown'), count)
+    } else if (!isLeftOutCount && isStateChange('')(line)) {
+      this.addStateChange(second, describeStateChange(line))
     }
   }
 
-  private takeEnd (second: number, end: RequestEnd, count: number, line: LogLine): void {
-    const { ends, times } = this.secondAt(second)
+  private addRequestEnd (second: number, end: RequestEnd, count: number, line: LogLine): void {
+    const { ends, times } = this.getOrCreateSecond(second)
     ends[end] += count
     if (end === RequestEnd.Answered && typeof line.ms === 'number') {
       times.push(line.ms)
     }
     if (end === RequestEnd.Failed || end === RequestEnd.Refused) {
-      add(this.reasons, String(line.code ?? line.outcome ?? 'not written'), count)
+      increaseCount(this.reasons, String(line.code ?? line.outcome ?? 'not written'), count)
     }
   }
 
-  private takeBelief (second: number, text: string): void {
+  private addStateChange (second: number, text: string): void {
     const key = `${second} ${text}`
-    const known = this.beliefs.get(key)
-    if (known) {
-      known.instances += 1
+    const existing = this.stateChanges.get(key)
+    if (existing) {
+      existing.instanceCount += 1
     } else {
-      this.beliefs.set(key, { second, text, instances: 1 })
+      this.stateChanges.set(key, { second, text, instanceCount: 1 })
     }
   }
 
-  private secondAt (second: number): Second {
-    let counted = this.seconds.get(second)
-    if (!counted) {
-      counted = createSecond()
-      this.seconds.set(second, counted)
+  private getOrCreateSecond (second: number): SecondCounts {
+    let counts = this.seconds.get(second)
+    if (!counts) {
+      counts = createSecondCounts()
+      this.seconds.set(second, counts)
     }
-    return counted
+    return counts
   }
 }
--- a/packages/foxtaillever/src/logs/logStory.ts
+++ b/packages/foxtaillever/src/logs/readLogs.ts
@@ -1,4 +1,4 @@
-/** Lines of many instances' logs, merged by time, and what they tell of one request or of beliefs. */
+/** Reads the logs of many instances, merges their lines by time, and selects lines about a request or about state changes. */
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import { Either } from 'purify-ts'
@@ -10,19 +10,19 @@
   readonly [field: string]: unknown
 }
 
-export interface ReadLines {
+export interface MergedLog {
   readonly lines: readonly LogLine[]
-  /** Lines that are no log lines of an instance. */
+  /** Number of lines that are not log lines of an instance. */
   readonly malformed: number
 }
 
-/** Lines that tell what an instance believes, by the part that they begin with. */
-const BELIEF_PARTS = ['fleet:', 'process:']
+/** Prefixes of the messages that report a state change of an instance. */
+const STATE_CHANGE_PREFIXES = ['fleet:', 'process:']
 
-/** Fields that say what a line is about anyway. */
-const headFields = new Set(['level', 'time', 'instance', 'msg'])
+/** Fields that every line has; they are printed first or not at all. */
+const commonFields = new Set(['level', 'time', 'instance', 'msg'])
 
-/** Collectors put a time or a host's name before a line; the line itself is one JSON object. */
+/** Skips the time or host name that a log collector may write before the line's JSON object. */
 function parseLine (text: string): LogLine | undefined {
   return Either.encase(() => JSON.parse(text.slice(Math.max(0, text.indexOf('{')))) as Partial<LogLine> | null)
     .toMaybe()
@@ -30,8 +30,8 @@
     .extract() as LogLine | undefined
 }
 
-/** Reads only the lines that are wanted, so that logs may be larger than memory. */
-export async function readLogs (files: readonly string[], isWanted: (line: LogLine) => boolean): Promise<ReadLines> {
+/** Keeps only the wanted lines in memory, so that logs may be larger than memory. */
+export async function readLogs (files: readonly string[], isWanted: (line: LogLine) => boolean): Promise<MergedLog> {
   const lines: LogLine[] = []
   let malformed = 0
   for (const file of files) {
@@ -44,21 +44,21 @@
       }
     }
   }
-  return { lines: lines.sort((one, other) => one.time.localeCompare(other.time)), malformed }
+  return { lines: lines.sort((a, b) => a.time.localeCompare(b.time)), malformed }
 }
 
 export function isAboutRequest (id: string): (line: LogLine) => boolean {
   return ({ request }) => request === id
 }
 
-/** @param subject part of a field's value, such as a server's id; empty for all. */
-export function isBelief (subject: string): (line: LogLine) => boolean {
-  return line => BELIEF_PARTS.some(part => line.msg.startsWith(part)) &&
-    (subject === '' || Object.entries(line).some(([name, value]) => !headFields.has(name) && String(value).includes(subject)))
+/** @param subject text that a field must contain, such as a server's id; empty for all state changes. */
+export function isStateChange (subject: string): (line: LogLine) => boolean {
+  return line => STATE_CHANGE_PREFIXES.some(prefix => line.msg.startsWith(prefix)) &&
+    (subject === '' || Object.entries(line).some(([name, value]) => !commonFields.has(name) && String(value).includes(subject)))
 }
 
-/** What the instances believed shortly before and while the request was there. */
-export function beliefsAround (lines: readonly LogLine[], request: readonly LogLine[], beforeMs: number): readonly LogLine[] {
+/** Selects the lines of the request's instances from `beforeMs` before its arrival to its last line. */
+export function selectStateChangesAround (lines: readonly LogLine[], request: readonly LogLine[], beforeMs: number): readonly LogLine[] {
   const [first, last] = [request[0], request.at(-1)]
   if (!first || !last) {
     return []
@@ -69,11 +69,11 @@
 }
 
 export function formatLine (line: LogLine): string {
-  const fields = Object.entries(line).filter(([name, value]) => !headFields.has(name) && value !== undefined && value !== '')
+  const fields = Object.entries(line).filter(([name, value]) => !commonFields.has(name) && value !== undefined && value !== '')
   return `${line.time}  ${line.instance}  ${line.msg} ${fields.map(([name, value]) => `${name}=${String(value)}`).join(' ')}`.trimEnd()
 }
 
-export function formatStory ({ lines, malformed }: ReadLines): string {
+export function formatLog ({ lines, malformed }: MergedLog): string {
   const note = malformed > 0 ? [`${malformed} lines could not be read.`] : []
   return [...lines.map(formatLine), ...note, ''].join('\n')
 }
