--- a/packages/foxtaillever/src/__fixtures__/readTranscript.ts
+++ b/packages/foxtaillever/src/__fixtures__/readTranscript.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the transcripts of a page: blocks marked `console`, in which a line
- * with `$` is a command and the lines below are what it prints.
+ * Reads the transcripts of a page: code blocks marked `console`, in which a line
+ * that begins with `$` is a command and the lines below it are its output.
  */
 export interface Step {
   readonly command: string
@@ -17,13 +17,13 @@
   })
 }
 
-/** Words of a command line, with quotes as a shell reads them. */
-export function splitWords (command: string): readonly string[] {
+/** Splits a command line into arguments; quotes work as in a shell. */
+export function splitArguments (command: string): readonly string[] {
   const words = command.match(/(?:'[^']*'|"[^"]*"|[^\s'"])+/g) ?? []
   return words.map(word => word.replace(/'([^']*)'|"([^"]*)"/g, (_, single?: string, double?: string) => single ?? double ?? ''))
 }
 
-/** What may differ from run to run: ports, times, digests, numbers and the width of columns. */
+/** Replaces what differs from run to run: ports, times, digests, other numbers and column widths. */
 export function withoutNumbers (text: string): string {
   return text
     .replace(/\.[0-9a-f]{8}\b/g, '.ID')
--- a/packages/foxtaillever/src/__tests__/commands.test.ts
+++ b/packages/foxtaillever/src/__tests__/commands.test.ts
@@ -12,19 +12,19 @@
 const example = new URL('../../../foxtaillever-settings/examples/sertaneja.configuration.jsonc', import.meta.url).pathname
 const token = 'token-of-marilia'
 
-interface Bench {
+interface InstanceContext {
   readonly control: FakeControl
   readonly run: (...words: readonly string[]) => Promise<CommandRun>
 }
 
-/** One instance with the example in force. */
-async function withInstance (use: (bench: Bench) => Promise<void>): Promise<void> {
+/** Runs `test` against one instance that has the example configuration in force. */
+async function withInstance (test: (context: InstanceContext) => Promise<void>): Promise<void> {
   const control = FakeControl.create('entry-1')
   control.folded = { ...createConfiguration(parseConfigurationFile('', await readFile(example, 'utf8')).unsafeCoerce()), revision: 1 }
   const served = await serveControl(control, { marilia: token })
   const env = { FOXTAILLEVER_ADDRESS: served.address, FOXTAILLEVER_TOKEN: token }
   try {
-    await use({ control, run: async (...words) => await runCommand(words, env) })
+    await test({ control, run: async (...words) => await runCommand(words, env) })
   } finally {
     served.close()
   }
@@ -32,7 +32,7 @@
 
 describe('command line', () => {
   describe('configuration', () => {
-    it('is validated with all complaints, and nothing is sent', async t => {
+    it('is validated without an instance, and each error is listed', async t => {
       const file = join(await mkdtemp(join(tmpdir(), 'foxtaillever-')), 'bad.jsonc')
       await writeFile(file, '{ "acounts": {} }')
       const { code, out } = await runCommand(['config', 'validate', file])
@@ -50,7 +50,7 @@
       })
     })
 
-    it('is published, and instances that lag are named', async t => {
+    it('is published, and instances that do not have it in force in time are named', async t => {
       await withInstance(async ({ control, run }) => {
         control.folded = { ...control.folded, accounts: {} }
         control.lagging = ['entry-7']
@@ -62,7 +62,7 @@
       })
     })
 
-    it('shown as a file can be published again without a change', async t => {
+    it('that is shown as a file can be published again without a change', async t => {
       await withInstance(async ({ run }) => {
         const { out } = await run('config', 'show', '--file')
         const file = join(await mkdtemp(join(tmpdir(), 'foxtaillever-')), 'now.jsonc')
@@ -73,8 +73,8 @@
   })
 
   describe('presets', () => {
-    // A script switches a preset where nobody can confirm. Going on unasked
-    // would move the traffic of every client account by a typing error.
+    // A script that switches a preset has no terminal for a confirmation. Without
+    // this check, a typing error would move the traffic of every client account.
     it('are not switched without a confirmation', async t => {
       await withInstance(async ({ control, run }) => {
         const { code, err } = await run('preset', 'switch', 'peaks')
@@ -91,7 +91,7 @@
       })
     })
 
-    it('that do not exist are told with those that do', async t => {
+    it('that do not exist are refused with a list of those that do', async t => {
       await withInstance(async ({ run }) => {
         const { code, err } = await run('preset', 'switch', 'holidays', '--yes')
         t.is(code, ExitCode.Refused)
@@ -110,7 +110,7 @@
       })
     })
 
-    it('take orders', async t => {
+    it('are sent orders', async t => {
       await withInstance(async ({ run }) => {
         const { code, out } = await run('order', 'load-weights', 'order-language-3', '2026-12', '--yes')
         t.deepEqual([code, out], [ExitCode.Done, 'order 1: load-weights 2026-12 at order-language-3: waiting. Waits for the lease.\n'])
@@ -129,7 +129,7 @@
       })
     })
 
-    it('of a request is explained, wherever it was served', async t => {
+    it('of a request is explained by the instance that served it', async t => {
       await withInstance(async ({ control, run }) => {
         control.explanations.set('r1', {
           requestId: 'r1',
@@ -176,7 +176,7 @@
     }
   })
 
-  describe('what goes wrong', () => {
+  describe('failures', () => {
     it('a wrong token', async t => {
       await withInstance(async ({ control, run }) => {
         const address = control.memberViews[0]?.controlAddress ?? ''
@@ -193,9 +193,9 @@
       t.true(err.includes('FOXTAILLEVER_ADDRESS'))
     })
 
-    // One instance has just been replaced; the operator's list of addresses
-    // still begins with it. The command must go on to the next one.
-    it('the first instance is gone', async t => {
+    // An instance was replaced, and the operator's list of addresses still begins
+    // with its address. The command must call the next address.
+    it('the first listed instance is unreachable', async t => {
       await withInstance(async ({ control }) => {
         const gone = await serveControl(FakeControl.create('gone'), {})
         gone.close()
@@ -204,7 +204,7 @@
       })
     })
 
-    it('a command line that is not one', async t => {
+    it('an unknown option or command', async t => {
       t.is((await runCommand(['members', '--colour'])).code, ExitCode.Usage)
       t.is((await runCommand(['preset', 'swich', 'peaks'])).code, ExitCode.Usage)
     })
--- a/packages/foxtaillever/src/__tests__/docs.test.ts
+++ b/packages/foxtaillever/src/__tests__/docs.test.ts
@@ -18,13 +18,13 @@
   return readFileSync(page, 'utf8')
 }
 
-/** Links to files, without those to other sites and within a page. */
+/** Returns links to files that do not exist; links to other sites and within a page are not checked. */
 function findBrokenLinks (page: string): readonly string[] {
   const links = [...read(page).matchAll(/\]\(([^)#\s]+)[^)]*\)/g)].map(match => match[1] ?? '')
   return links.filter(link => !/^[a-z]+:/.test(link) && !existsSync(join(dirname(page), link)))
 }
 
-/** Commands in blocks and in code within the text. */
+/** Finds the commands in code blocks and in inline code. */
 function findCommands (page: string): ReadonlyArray<readonly string[]> {
   const lines = [...read(page).matchAll(/^(?:\$ )?(foxtaillever [^#\n]*)/gm)]
   const spans = [...read(page).matchAll(/`(foxtaillever [^`]*)`/g)]
@@ -38,22 +38,22 @@
   return paths.some(path => path.length > 0 && path.every((word, index) => words[index] === word))
 }
 
-function optionsOf (words: readonly string[]): readonly string[] {
+function findUnknownOptions (words: readonly string[]): readonly string[] {
   const known = definitions.filter(({ path }) => path.split(' ').slice(1).every((word, index) => words[index] === word)).flatMap(({ options }) => options.flatMap(({ definition }) => definition.split(/[ ,]/)))
   return words.filter(word => word.startsWith('--') && !['--help', '--version', '--'].includes(word) && !known.includes(word))
 }
 
-describe('the pages', () => {
+describe('documentation pages', () => {
   for (const page of pages) {
     describe(relative(root, page), () => {
-      it('links to what is there', t => {
+      it('has no broken links', t => {
         t.deepEqual(findBrokenLinks(page), [])
       })
 
       it('names commands and options that exist', t => {
         const commands = findCommands(page)
         t.deepEqual(commands.filter(words => !isCommand(words)).map(words => words.join(' ')), [])
-        t.deepEqual(commands.flatMap(optionsOf), [])
+        t.deepEqual(commands.flatMap(findUnknownOptions), [])
       })
 
       it('names scripts that exist', t => {
--- a/packages/foxtaillever/src/__tests__/newcomers.test.ts
+++ b/packages/foxtaillever/src/__tests__/newcomers.test.ts
@@ -4,12 +4,12 @@
 import { PlacementPolicy } from 'foxtaillever-core'
 import { EmbeddedDeployment, OPERATOR_TOKEN, shapes, type Shape } from 'foxtaillever-load'
 import { describe, it } from 'foxtaillever-testing'
-import { readTranscript, splitWords, withoutNumbers } from '../__fixtures__/readTranscript.js'
+import { readTranscript, splitArguments, withoutNumbers } from '../__fixtures__/readTranscript.js'
 import { runCommand } from '../__fixtures__/runCommand.js'
 
 const page = new URL('../../../../docs/newcomers.md', import.meta.url)
 
-/** Runs the programs of the page: the command line itself, a request, and an edit of a file. */
+/** Runs the programs that the page uses: the command line, `curl` for a request, and `sed` for an edit of a file. */
 class Shell {
   private constructor (private readonly deployment: EmbeddedDeployment, private readonly directory: string) {}
 
@@ -18,18 +18,18 @@
   }
 
   private readonly programs: Readonly<Record<string, (words: readonly string[]) => Promise<string>>> = {
-    foxtaillever: async words => await this.operate(words),
+    foxtaillever: async words => await this.runCommandLine(words),
     curl: async words => await this.send(words),
     sed: async words => await this.substitute(words)
   }
 
   async run (command: string): Promise<string> {
-    const [program = '', ...words] = splitWords(command)
-    const known = this.programs[program]
-    return known ? await known(words) : `no program ${program}`
+    const [program = '', ...words] = splitArguments(command)
+    const runProgram = this.programs[program]
+    return runProgram ? await runProgram(words) : `no program ${program}`
   }
 
-  private async operate (words: readonly string[]): Promise<string> {
+  private async runCommandLine (words: readonly string[]): Promise<string> {
     const redirect = words.indexOf('>')
     const env = { FOXTAILLEVER_ADDRESS: this.deployment.entries.map(entry => entry.control).join(','), FOXTAILLEVER_TOKEN: OPERATOR_TOKEN }
     const inDirectory = (redirect < 0 ? words : words.slice(0, redirect)).map(word => word.endsWith('.jsonc') ? join(this.directory, word) : word)
@@ -49,7 +49,7 @@
     return answer.status === 200 ? '' : text
   }
 
-  /** Of `sed -i '0,/A/s//B/' FILE`: the first A becomes B. */
+  /** Runs `sed -i '0,/A/s//B/' FILE`, which replaces the first A by B. */
   private async substitute (words: readonly string[]): Promise<string> {
     const [, from = '', to = ''] = /^0,\/(.*)\/s\/\/(.*)\/$/.exec(words[1] ?? '') ?? []
     const file = join(this.directory, words[2] ?? '')
@@ -59,8 +59,8 @@
   }
 }
 
-describe('the newcomer\'s walk', () => {
-  it('prints what the page shows', async t => {
+describe('the newcomers page', () => {
+  it('shows what its commands print', async t => {
     const steps = readTranscript(await readFile(page, 'utf8'))
     t.true(steps.length > 10)
     const deployment = await EmbeddedDeployment.start({ shape: shapes['sertaneja'] as Shape, placement: PlacementPolicy.ExpectedFirstToken, seed: 1 })
--- a/packages/foxtaillever/src/__tests__/operations.test.ts
+++ b/packages/foxtaillever/src/__tests__/operations.test.ts
@@ -9,10 +9,10 @@
 
 const page = new URL('../../../../docs/OPERATIONS.md', import.meta.url).pathname
 
-/** Requests at once: more than three engines of eight places and eight that wait take. */
-const CROWD = 120
+/** Requests sent at once: more than three engines accept with eight slots and eight queued requests each. */
+const CROWD_SIZE = 120
 
-/** What differs from run to run: times, addresses, counts, and which of several instances or zones it was. */
+/** Replaces what differs from run to run: times, addresses, counts, and names of instances and zones. */
 function normalise (line: string): string {
   return line.replace(/zone-[abc]/g, 'zone-x').replace(/instance-\d/g, 'instance-n').replace(/\d+(\.\d+)?/g, '#').trim()
 }
@@ -27,10 +27,10 @@
   return (await runCommand(['explain', id, '--logs', ...files])).out
 }
 
-/** Each makes one request fail and returns its id. */
+/** By heading of the page: makes one request fail and returns its id. */
 const failures: Readonly<Record<string, (fleet: RelayFleet) => Promise<string>>> = {
   'Turned away under load': async fleet => {
-    const replies = await Promise.all(Array.from({ length: CROWD }, async (_, index) => await fleet.stream(index % 3, `crowd-${index}`, `c${index}`, 200)))
+    const replies = await Promise.all(Array.from({ length: CROWD_SIZE }, async (_, index) => await fleet.stream(index % 3, `crowd-${index}`, `c${index}`, 200)))
     return `crowd-${replies.findIndex(({ status, body }) => status === 503 && body.includes('backend_server_refused'))}`
   },
   'Broken off by a server that went': async fleet => {
@@ -40,13 +40,13 @@
   },
   'Refused after a change of keys': async fleet => {
     fleet.platform.configure(createConfiguration(5, { tenants: [{ name: 'acme', api_keys: ['key-new'] }] }))
-    await waitFor('it is in force', async () => (await fleet.send(0, { id: `before-${Math.random()}`, path: `${Path.Once}x` })).status === 401)
+    await waitFor('the new keys are in force', async () => (await fleet.send(0, { id: `before-${Math.random()}`, path: `${Path.Once}x` })).status === 401)
     await fleet.send(0, { id: 'late-3', path: `${Path.Once}x` })
     return 'late-3'
   }
 }
 
-/** Lines of the block under a heading. */
+/** Returns the lines of the code block under a heading. */
 async function readBlock (heading: string): Promise<readonly string[]> {
   const text = await readFile(page, 'utf8')
   const section = text.slice(text.indexOf(`## ${heading}`))
@@ -54,16 +54,16 @@
   return block.split('\n').filter(line => line.trim() !== '')
 }
 
-describe('the page on operations', () => {
-  for (const [heading, fail] of Object.entries(failures)) {
-    it(`shows lines as this build writes them: ${heading}`, async t => {
+describe('the operations page', () => {
+  for (const [heading, causeFailure] of Object.entries(failures)) {
+    it(`shows lines that this build prints: ${heading}`, async t => {
       await withFleet(async fleet => {
-        const told = await explain(fleet, await fail(fleet))
-        const known = new Set(told.split('\n').map(normalise))
+        const output = await explain(fleet, await causeFailure(fleet))
+        const printed = new Set(output.split('\n').map(normalise))
         const block = await readBlock(heading)
         t.true(block.length >= 2)
-        const unknown = block.filter(line => !known.has(normalise(line)))
-        t.deepEqual(unknown, [], `this build tells:\n${told}`)
+        const missing = block.filter(line => !printed.has(normalise(line)))
+        t.deepEqual(missing, [], `this build prints:\n${output}`)
       })
     })
   }
--- a/packages/foxtaillever/src/commands/accounts.ts
+++ b/packages/foxtaillever/src/commands/accounts.ts
@@ -9,7 +9,7 @@
 
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      const views = await connection.ask(async client => await client.accounts())
+      const views = await connection.call(async client => await client.accounts())
       return views.map(accounts => this.print(accounts, () => formatTable(
         ['account', 'class', 'weight', 'waiting', 'running', 'tokens/s limit', 'requests limit'],
         accounts.map(account => [
--- a/packages/foxtaillever/src/commands/completion.ts
+++ b/packages/foxtaillever/src/commands/completion.ts
@@ -41,7 +41,7 @@
   }
 }
 
-/** Called by the scripts, not by people. */
+/** Called by the completion scripts; left out of the help. */
 export class CompletionWordsCommand extends Command {
   static override paths = [['completion', 'words']]
 
--- a/packages/foxtaillever/src/commands/configDiff.ts
+++ b/packages/foxtaillever/src/commands/configDiff.ts
@@ -2,7 +2,7 @@
 import { compareConfigurations, describeChanges } from 'foxtaillever-control'
 import { ExitCode } from '../exitCode.js'
 import { OperatorCommand } from '../operatorCommand.js'
-import { loadPublication, type Publishing } from '../publish/loadPublication.js'
+import { loadPublication, type MergeConfiguration } from '../publish/loadPublication.js'
 
 export class ConfigDiffCommand extends OperatorCommand {
   static override paths = [['config', 'diff']]
@@ -21,15 +21,15 @@
         this.context.stderr.write(`${failure.message}\n`)
         return ExitCode.InvalidFile
       },
-      Right: async publishing => await this.compare(publishing)
+      Right: async merge => await this.compare(merge)
     })
   }
 
-  private async compare (publishing: Publishing): Promise<ExitCode> {
+  private async compare (merge: MergeConfiguration): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      const view = await connection.ask(async client => await client.configuration())
+      const view = await connection.call(async client => await client.configuration())
       return view.map(({ configuration }) => {
-        const lines = describeChanges(configuration, compareConfigurations(configuration, publishing(configuration)))
+        const lines = describeChanges(configuration, compareConfigurations(configuration, merge(configuration)))
         this.print({ revision: configuration.revision, changes: lines }, () => lines.map(line => `${line}\n`).join('') || `No difference from revision ${configuration.revision}.\n`)
         return lines.length === 0 ? ExitCode.Done : ExitCode.Different
       })
--- a/packages/foxtaillever/src/commands/configPublish.ts
+++ b/packages/foxtaillever/src/commands/configPublish.ts
@@ -23,7 +23,7 @@
         this.context.stderr.write(`${failure.message}\n`)
         return ExitCode.InvalidFile
       },
-      Right: async publishing => await this.publish(configuration => Right(compareConfigurations(configuration, publishing(configuration))))
+      Right: async merge => await this.publish(configuration => Right(compareConfigurations(configuration, merge(configuration))))
     })
   }
 }
--- a/packages/foxtaillever/src/commands/configShow.ts
+++ b/packages/foxtaillever/src/commands/configShow.ts
@@ -17,7 +17,7 @@
 
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      const view = await connection.ask(async client => await client.configuration())
+      const view = await connection.call(async client => await client.configuration())
       return view.map(shown => this.print(this.file ? createConfigurationFile(shown.configuration) : shown, () => this.describe(shown)))
     })
   }
--- a/packages/foxtaillever/src/commands/dump.ts
+++ b/packages/foxtaillever/src/commands/dump.ts
@@ -20,10 +20,10 @@
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
       if (!this.all && this.name === undefined) {
-        const dump = await connection.ask(async client => await client.dump())
+        const dump = await connection.call(async client => await client.dump())
         return dump.map(value => this.print(value, () => formatJson(value)))
       }
-      const answers = await connection.askAll(async client => await client.dump())
+      const answers = await connection.callAll(async client => await client.dump())
       return answers.map(list => this.printAll(list))
     })
   }
--- a/packages/foxtaillever/src/commands/explain.ts
+++ b/packages/foxtaillever/src/commands/explain.ts
@@ -27,7 +27,7 @@
       return await this.explainFromLogs()
     }
     return await this.withConnection(async connection => {
-      const answers = await connection.askAll(async client => await client.explain(this.requestId))
+      const answers = await connection.callAll(async client => await client.explain(this.requestId))
       return answers.map(list => {
         const found = list.flatMap(({ answer }) => answer.caseOf<readonly Explanation[]>({ Left: () => [], Right: explanation => [explanation] }))
         return found.length > 0 ? this.print(found, () => found.map(formatExplanation).join('\n')) : this.reportNotFound(list.length)
--- a/packages/foxtaillever/src/commands/members.ts
+++ b/packages/foxtaillever/src/commands/members.ts
@@ -10,7 +10,7 @@
 
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      const views = await connection.ask(async client => await client.members())
+      const views = await connection.call(async client => await client.members())
       return views.map(members => this.print(members, () => formatTable(
         ['instance', 'failure domain', 'state', 'revision', 'control address', 'last heard'],
         members.map(member => [member.name, member.failureDomain, member.state, String(member.revision), member.controlAddress, formatInstant(member.heardAt)])
--- a/packages/foxtaillever/src/commands/order.ts
+++ b/packages/foxtaillever/src/commands/order.ts
@@ -7,13 +7,13 @@
 import { OperatorCommand } from '../operatorCommand.js'
 import { confirm } from '../publish/confirm.js'
 
-/** Between two looks at the progress, milliseconds. */
-const LOOK_PERIOD_MS = 250
+/** Interval between two polls of the progress, milliseconds. */
+const POLL_INTERVAL_MS = 250
 
-/** Weights load in under a second, and at most two at once over all; milliseconds. */
-const LONGEST_WAIT_MS = 120_000
+/** Longest wait for an order, milliseconds. Weights load in under a second, at most two loads at once in the fleet. */
+const MAX_WAIT_MS = 120_000
 
-const finished: ReadonlySet<OrderState> = new Set([OrderState.Done, OrderState.Failed])
+const finalStates: ReadonlySet<OrderState> = new Set([OrderState.Done, OrderState.Failed])
 
 export class OrderCommand extends OperatorCommand {
   static override paths = [['order']]
@@ -32,49 +32,49 @@
   wait = Option.Boolean('--wait', false, { description: 'Show the progress until it is done.' })
 
   async execute (): Promise<ExitCode> {
-    return await this.withConnection(async connection => await this.readOrder().caseOf({
+    return await this.withConnection(async connection => await this.parseOrder().caseOf({
       Left: async failure => Left(failure),
-      Right: async order => await this.give(connection, order)
+      Right: async order => await this.sendOrder(connection, order)
     }))
   }
 
-  private readOrder (): Either<Failure, ServerOrder> {
+  private parseOrder (): Either<Failure, ServerOrder> {
     const kind = Object.values(OrderKind).find(known => known === this.kind)
     return kind
       ? Right({ kind, server: this.server, model: this.model, value: this.value })
       : Left(Failure.notRun(FailureCode.BadRequest, `There is no order "${this.kind}": give one of ${Object.values(OrderKind).join(', ')}.`))
   }
 
-  private async give (connection: Connection, order: ServerOrder): Promise<Either<Failure, ExitCode>> {
+  private async sendOrder (connection: Connection, order: ServerOrder): Promise<Either<Failure, ExitCode>> {
     if (!this.yes && !await confirm(this.context, `${order.server} serves less while it carries out the order.`)) {
       return Right(ExitCode.NotConfirmed)
     }
-    const given = await connection.ask(async client => await client.giveOrder(order))
+    const given = await connection.call(async client => await client.giveOrder(order))
     return await given.caseOf({
       Left: async failure => Left(failure),
-      Right: async progress => this.wait ? await this.watch(connection, progress) : Right(this.show(progress))
+      Right: async progress => this.wait ? await this.watchProgress(connection, progress) : Right(this.printProgress(progress))
     })
   }
 
-  private async watch (connection: Connection, given: OrderProgress): Promise<Either<Failure, ExitCode>> {
+  private async watchProgress (connection: Connection, given: OrderProgress): Promise<Either<Failure, ExitCode>> {
     let progress = given
-    const deadline = Date.now() + LONGEST_WAIT_MS
-    while (!finished.has(progress.state) && Date.now() < deadline) {
-      await new Promise(resolve => setTimeout(resolve, LOOK_PERIOD_MS))
-      const orders = await connection.ask(async client => await client.orders())
+    const deadline = Date.now() + MAX_WAIT_MS
+    while (!finalStates.has(progress.state) && Date.now() < deadline) {
+      await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS))
+      const orders = await connection.call(async client => await client.orders())
       const next = orders.toMaybe().chainNullable(list => list.find(({ id }) => id === given.id)).orDefault(progress)
       if (next.state !== progress.state && !this.json) {
-        this.show(next)
+        this.printProgress(next)
       }
       progress = next
     }
     if (this.json) {
-      this.show(progress)
+      this.printProgress(progress)
     }
     return Right(progress.state === OrderState.Done ? ExitCode.Done : ExitCode.Unknown)
   }
 
-  private show (progress: OrderProgress): ExitCode {
+  private printProgress (progress: OrderProgress): ExitCode {
     const { id, order, state, message } = progress
     this.print(progress, () => `order ${id}: ${order.kind} ${order.value} at ${order.server}: ${state}. ${message}\n`)
     return state === OrderState.Failed ? ExitCode.Refused : ExitCode.Done
--- a/packages/foxtaillever/src/commands/orders.ts
+++ b/packages/foxtaillever/src/commands/orders.ts
@@ -10,7 +10,7 @@
 
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      const orders = await connection.ask(async client => await client.orders())
+      const orders = await connection.call(async client => await client.orders())
       return orders.map(list => this.print(list, () => formatTable(
         ['order', 'kind', 'server', 'value', 'state', 'since', 'message'],
         list.map(({ id, order, state, changedAt, message }) => [id, order.kind, order.server, order.value, state, formatInstant(changedAt), message])
--- a/packages/foxtaillever/src/commands/presetList.ts
+++ b/packages/foxtaillever/src/commands/presetList.ts
@@ -9,7 +9,7 @@
 
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      const view = await connection.ask(async client => await client.configuration())
+      const view = await connection.call(async client => await client.configuration())
       return view.map(({ configuration: { presets, presetInForce } }) => this.print({ presets, presetInForce }, () => formatTable(
         ['preset', 'in force', 'placement', 'queue limit', 'retries', 'timeout'],
         Object.values(presets).map(preset => [
--- a/packages/foxtaillever/src/commands/presetShow.ts
+++ b/packages/foxtaillever/src/commands/presetShow.ts
@@ -5,7 +5,7 @@
 import { formatTable } from '../format/formatTable.js'
 import { OperatorCommand } from '../operatorCommand.js'
 
-/** Finds a preset by what an operator typed. */
+/** Finds a preset by the name that an operator typed. */
 export function findPreset ({ presets }: Configuration, name: string): Either<Failure, Preset> {
   const preset = presets[name as PresetName]
   return preset ? Right(preset) : Left(Failure.notRun(FailureCode.BadRequest, `There is no preset "${name}": name one of ${Object.keys(presets).join(', ')}.`))
@@ -19,7 +19,7 @@
 
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      const view = await connection.ask(async client => await client.configuration())
+      const view = await connection.call(async client => await client.configuration())
       return view
         .chain(({ configuration }) => findPreset(configuration, this.name ?? configuration.presetInForce))
         .map(preset => this.print(preset, () => formatTable(['setting', 'value'], Object.entries(preset).map(([key, value]) => [key, String(value)]))))
--- a/packages/foxtaillever/src/commands/report.ts
+++ b/packages/foxtaillever/src/commands/report.ts
@@ -19,21 +19,21 @@
 
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      const answers = await connection.askAll(async client => await client.figures(this.account))
+      const answers = await connection.callAll(async client => await client.figures(this.account))
       return answers.map(list => this.report(list))
     })
   }
 
   private report (answers: ReadonlyArray<InstanceAnswer<Figures>>): ExitCode {
-    const told = answers.flatMap(({ instance, answer }) => answer.caseOf<ReadonlyArray<readonly [string, Figures]>>({ Left: () => [], Right: figures => [[instance, figures]] }))
+    const answered = answers.flatMap(({ instance, answer }) => answer.caseOf<ReadonlyArray<readonly [string, Figures]>>({ Left: () => [], Right: figures => [[instance, figures]] }))
     const silent = answers.filter(({ answer }) => answer.isLeft()).map(({ instance, answer }) => `${instance}: ${answer.swap().map(({ message }) => message).orDefault('')}`)
-    const [first, ...rest] = told.map(([, figures]) => figures)
+    const [first, ...rest] = answered.map(([, figures]) => figures)
     if (!first) {
-      this.context.stderr.write(`No instance tells of ${this.account}. ${silent.join(' ')}\n`)
+      this.context.stderr.write(`No instance returned figures of ${this.account}. ${silent.join(' ')}\n`)
       return ExitCode.Different
     }
     const sum = rest.reduce(addFigures, first)
-    const since = Object.fromEntries(told.map(([instance, figures]) => [instance, formatInstant(figures.startedAt)]))
+    const since = Object.fromEntries(answered.map(([instance, figures]) => [instance, formatInstant(figures.startedAt)]))
     this.print({ account: this.account, figures: sum, since, silent }, () => this.describe(sum, since, silent))
     return silent.length === 0 ? ExitCode.Done : ExitCode.Unreachable
   }
--- a/packages/foxtaillever/src/commands/return.ts
+++ b/packages/foxtaillever/src/commands/return.ts
@@ -2,7 +2,7 @@
 import { AdministrativeState } from 'foxtaillever-core'
 import type { ExitCode } from '../exitCode.js'
 import { PublishCommand } from '../publish/publishCommand.js'
-import { setServerState } from '../publish/setServerState.js'
+import { createServerStateChanges } from '../publish/createServerStateChanges.js'
 
 export class ReturnCommand extends PublishCommand {
   static override paths = [['return']]
@@ -11,6 +11,6 @@
   server = Option.String({ name: 'server' })
 
   async execute (): Promise<ExitCode> {
-    return await this.publish(configuration => setServerState(configuration, this.server, AdministrativeState.InService))
+    return await this.publish(configuration => createServerStateChanges(configuration, this.server, AdministrativeState.InService))
   }
 }
--- a/packages/foxtaillever/src/commands/servers.ts
+++ b/packages/foxtaillever/src/commands/servers.ts
@@ -14,7 +14,7 @@
 
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      const views = await connection.ask(async client => await client.servers())
+      const views = await connection.call(async client => await client.servers())
       return views.map(servers => this.print(servers, () => formatTable(
         ['server', 'kind', 'failure domain', 'state', 'ready', 'running', 'slots', 'share'],
         servers.map(server => [
--- a/packages/foxtaillever/src/commands/top.ts
+++ b/packages/foxtaillever/src/commands/top.ts
@@ -12,8 +12,8 @@
 
 const DEFAULT_PERIOD_MS = 2000
 
-/** Moves the cursor home and clears what is below. */
-const CLEAR = '\u001b[H\u001b[J'
+/** Moves the cursor to the top left and clears the screen below it. */
+const CLEAR_SCREEN = '\u001b[H\u001b[J'
 
 type Sample = ReadonlyMap<string, Figures>
 
@@ -30,13 +30,13 @@
 
   async execute (): Promise<ExitCode> {
     return await this.withConnection(async connection => {
-      let before: Sample = new Map()
+      let previous: Sample = new Map()
       for (;;) {
         const sample = await this.sample(connection)
         const ended = sample.isLeft() || this.once
         sample.ifRight(now => {
-          this.show(now, before)
-          before = now
+          this.show(now, previous)
+          previous = now
         })
         if (ended) {
           return sample.map(() => ExitCode.Done)
@@ -47,18 +47,18 @@
   }
 
   private async sample (connection: Connection): Promise<Either<Failure, Sample>> {
-    const answers = await connection.askAll(async client => await client.figures())
+    const answers = await connection.callAll(async client => await client.figures())
     return answers.chain(list => Right(new Map(list.flatMap(({ instance, answer }) => answer.caseOf<ReadonlyArray<readonly [string, Figures]>>({ Left: () => [], Right: figures => [[instance, figures]] })))))
   }
 
-  private show (sample: Sample, before: Sample): void {
-    const rows = [...sample].map(([instance, figures]) => rowOf(instance, subtractFigures(figures, before.get(instance))))
+  private show (sample: Sample, previous: Sample): void {
+    const rows = [...sample].map(([instance, figures]) => createRow(instance, subtractFigures(figures, previous.get(instance))))
     const table = formatTable(['instance', 'served/s', 'first token p50', 'p99', 'hit rate', 'waiting', 'running', 'refused', 'failed', 'late'], rows)
-    this.print(Object.fromEntries(sample), () => this.once ? table : `${CLEAR}${table}`)
+    this.print(Object.fromEntries(sample), () => this.once ? table : `${CLEAR_SCREEN}${table}`)
   }
 }
 
-function rowOf (instance: string, figures: Figures): Row {
+function createRow (instance: string, figures: Figures): Row {
   const seconds = Math.max(0.001, (figures.takenAt - figures.startedAt) / 1000)
   return [
     instance,
--- a/packages/foxtaillever/src/completion/completeWords.ts
+++ b/packages/foxtaillever/src/completion/completeWords.ts
@@ -1,6 +1,4 @@
-/**
- * What may stand next on the command line, from the commands themselves.
- */
+/** Completes the last word of a command line from the definitions of the commands. */
 import type { Definition } from 'clipanion'
 
 function pathOf ({ path }: Definition): readonly string[] {
@@ -15,12 +13,12 @@
   return options.flatMap(({ definition }) => definition.split(/[ ,]/).filter(word => word.startsWith('--')))
 }
 
-/** @param words what is typed after the program's name; the last one is being typed. */
+/** @param words the words after the program's name; the last one is still being typed. */
 export function completeWords (definitions: readonly Definition[], words: readonly string[]): readonly string[] {
   const typed = words.slice(0, -1)
-  const start = words.at(-1) ?? ''
+  const prefix = words.at(-1) ?? ''
   const next = definitions.map(pathOf).filter(path => path.length > typed.length && startsWith(path, typed)).flatMap(path => path[typed.length] ?? [])
   const options = definitions.filter(definition => startsWith(typed, pathOf(definition))).flatMap(optionsOf)
-  const candidates = start.startsWith('-') ? options : next
-  return [...new Set(candidates)].filter(word => word.startsWith(start)).sort()
+  const candidates = prefix.startsWith('-') ? options : next
+  return [...new Set(candidates)].filter(word => word.startsWith(prefix)).sort()
 }
--- a/packages/foxtaillever/src/connection/connection.ts
+++ b/packages/foxtaillever/src/connection/connection.ts
@@ -1,7 +1,7 @@
 /**
- * Which instances a command speaks to, and with which token. Any instance will
- * do, so several addresses are tried in turn; a call goes to another one only
- * when the first proved that it did not run.
+ * Calls instances for a command, with the operator's token. Any instance can
+ * answer, so several addresses are called in turn: a call goes to the next one
+ * only if the connection was refused, which proves that the call did not run.
  */
 import { readFile } from 'node:fs/promises'
 import { Failure, FailureCode, Verdict } from 'foxtaillever-core'
@@ -16,13 +16,13 @@
   readonly env: Readonly<Record<string, string | undefined>>
 }
 
-/** One instance's answer, or why there is none. */
+/** The answer of one instance, or the failure of the call to it. */
 export interface InstanceAnswer<Value> {
   readonly instance: string
   readonly answer: Either<Failure, Value>
 }
 
-type Call<Value> = (client: ControlClient) => Promise<Either<Failure, Value>>
+type ControlCall<Value> = (client: ControlClient) => Promise<Either<Failure, Value>>
 
 async function readToken ({ tokenFile, env }: ConnectionOptions): Promise<Either<Failure, string>> {
   if (tokenFile === undefined) {
@@ -45,34 +45,34 @@
     return token.map(text => new Connection(addresses, text))
   }
 
-  /** Asks the first instance that is there. */
-  async ask<Value> (call: Call<Value>): Promise<Either<Failure, Value>> {
+  /** Calls the first instance that accepts a connection. */
+  async call<Value> (call: ControlCall<Value>): Promise<Either<Failure, Value>> {
     let last: Either<Failure, Value> = Left(Failure.notRun(FailureCode.ConnectionRefused, 'No instance is named.'))
     for (const address of this.addresses) {
       last = await call(ControlClient.create(address, this.token))
-      if (!mayTryNext(last)) {
+      if (!mayCallNext(last)) {
         return last
       }
     }
     return last
   }
 
-  /** Asks every live instance at once; those that do not answer are told with their failure. */
-  async askAll<Value> (call: Call<Value>): Promise<Either<Failure, ReadonlyArray<InstanceAnswer<Value>>>> {
-    const members = await this.ask(async client => await client.members())
+  /** Calls every listed instance at once; the result of one that does not answer holds the failure. */
+  async callAll<Value> (call: ControlCall<Value>): Promise<Either<Failure, ReadonlyArray<InstanceAnswer<Value>>>> {
+    const members = await this.call(async client => await client.members())
     return await EitherAsync.liftEither(members)
-      .map(async views => await Promise.all(views.map(async view => await this.askMember(view, call))))
+      .map(async views => await Promise.all(views.map(async view => await this.callMember(view, call))))
       .run()
   }
 
-  private async askMember<Value> ({ name, controlAddress, state }: MemberView, call: Call<Value>): Promise<InstanceAnswer<Value>> {
+  private async callMember<Value> ({ name, controlAddress, state }: MemberView, call: ControlCall<Value>): Promise<InstanceAnswer<Value>> {
     const answer = await call(ControlClient.create(controlAddress, this.token))
     const instance = state === MemberCondition.Live ? name : `${name} (${state})`
     return { instance, answer }
   }
 }
 
-/** Only an instance that was never reached may be passed over. */
-function mayTryNext (answer: Either<Failure, unknown>): boolean {
+/** An instance is skipped only if its connection was refused: any other call may have run. */
+function mayCallNext (answer: Either<Failure, unknown>): boolean {
   return answer.swap().map(({ code, verdict }) => code === FailureCode.ConnectionRefused && verdict === Verdict.NotRun).orDefault(false)
 }
--- a/packages/foxtaillever/src/createCli.ts
+++ b/packages/foxtaillever/src/createCli.ts
@@ -1,6 +1,4 @@
-/**
- * The command line with all its commands.
- */
+/** Creates the command line with all its commands. */
 import { Builtins, Cli, type BaseContext, type CommandClass } from 'clipanion'
 import { AccountsCommand } from './commands/accounts.js'
 import { CompletionCommand, CompletionWordsCommand } from './commands/completion.js'
@@ -45,11 +43,11 @@
   return cli
 }
 
-/** Runs one command line; a wrong one ends with its own code, apart from what commands end with. */
-export async function runCli (words: readonly string[], context: BaseContext): Promise<number> {
+/** Runs one command line. A command line that cannot be parsed ends with `ExitCode.Usage`. */
+export async function runCli (args: readonly string[], context: BaseContext): Promise<number> {
   const cli = createCli()
   try {
-    return await cli.run(cli.process([...words], context), context)
+    return await cli.run(cli.process([...args], context), context)
   } catch (error) {
     context.stderr.write(cli.error(error, { colored: false }))
     return ExitCode.Usage
--- a/packages/foxtaillever/src/exitCode.ts
+++ b/packages/foxtaillever/src/exitCode.ts
@@ -1,6 +1,4 @@
-/**
- * What the command line ends with, so that scripts can tell outcomes apart.
- */
+/** Exit codes of the command line, with which scripts distinguish outcomes. */
 import { FailureCode, Verdict, type Failure } from 'foxtaillever-core'
 
 export enum ExitCode {
@@ -11,21 +9,21 @@
   Usage = 2,
   /** A file is wrong; nothing was sent. */
   InvalidFile = 3,
-  /** Refused; nothing of it is in force. */
+  /** Refused; no part of the change is in force. */
   Refused = 4,
-  /** It may have taken effect; look before trying again. */
+  /** The change may have taken effect; check before a retry. */
   Unknown = 5,
-  /** Accepted, but not in force everywhere in time. */
+  /** The change was accepted, but was not in force at all instances in time. */
   NotEverywhere = 6,
   /** No instance answers. */
   Unreachable = 7,
   /** The token is missing or not known. */
   Unauthenticated = 8,
-  /** Asked for a confirmation and did not get one. */
+  /** A confirmation was required and not given. */
   NotConfirmed = 9
 }
 
-/** What each code means, for the help and the operators' page. */
+/** Meaning of each code, as the operators' page lists it. */
 export const exitCodeMeanings: Record<ExitCode, string> = {
   [ExitCode.Done]: 'done',
   [ExitCode.Different]: 'a comparison found differences, or a search found nothing',
@@ -39,16 +37,16 @@
   [ExitCode.NotConfirmed]: 'asked for a confirmation and did not get one'
 }
 
-const ofFailure: Partial<Record<FailureCode, ExitCode>> = {
+const exitCodeByFailure: Partial<Record<FailureCode, ExitCode>> = {
   [FailureCode.ConnectionRefused]: ExitCode.Unreachable,
   [FailureCode.Unauthenticated]: ExitCode.Unauthenticated
 }
 
 export function exitCodeOf (failure: Failure): ExitCode {
-  return ofFailure[failure.code] ?? (failure.verdict === Verdict.NotRun ? ExitCode.Refused : ExitCode.Unknown)
+  return exitCodeByFailure[failure.code] ?? (failure.verdict === Verdict.NotRun ? ExitCode.Refused : ExitCode.Unknown)
 }
 
-const mends: Partial<Record<FailureCode, string>> = {
+const remedies: Partial<Record<FailureCode, string>> = {
   [FailureCode.ConnectionRefused]: 'Name another instance with --address, or list several in FOXTAILLEVER_ADDRESS.',
   [FailureCode.ConnectionLost]: 'Look with `foxtaillever config show` what is in force before trying again.',
   [FailureCode.Unauthenticated]: 'Set FOXTAILLEVER_TOKEN, or name a file with --token-file; its SHA-256 must stand under "operators" in the instance\'s settings.',
@@ -56,7 +54,7 @@
   [FailureCode.NoConfiguration]: 'The instance has read no configuration yet. Publish one, or ask another instance.'
 }
 
-/** What to do about a failure; empty when its own message says it. */
-export function mendOf (failure: Failure): string {
-  return mends[failure.code] ?? ''
+/** Describes what to do about a failure; empty when its message already does. */
+export function describeRemedy (failure: Failure): string {
+  return remedies[failure.code] ?? ''
 }
--- a/packages/foxtaillever/src/format/formatExplanation.ts
+++ b/packages/foxtaillever/src/format/formatExplanation.ts
@@ -1,29 +1,27 @@
-/**
- * An explanation as a story, one line a decision.
- */
+/** Formats the explanation of a request, one line a decision. */
 import type { Decision, Explanation } from 'foxtaillever-control'
 import { formatInstant } from './formatValues.js'
 
-/** Candidates shown for one decision; JSON has all that were kept. */
-const SHOWN_CANDIDATES = 4
+/** Candidates shown for one decision; `--json` prints all that were kept. */
+const MAX_SHOWN_CANDIDATES = 4
 
 function formatCandidates ({ candidates }: Decision): string {
   if (candidates.length === 0) {
     return ''
   }
-  const shown = candidates.slice(0, SHOWN_CANDIDATES).map(({ server, cost }) => `${server} ${Number(cost.toPrecision(4))}`)
-  const more = candidates.length > SHOWN_CANDIDATES ? `, ${candidates.length - SHOWN_CANDIDATES} more` : ''
+  const shown = candidates.slice(0, MAX_SHOWN_CANDIDATES).map(({ server, cost }) => `${server} ${Number(cost.toPrecision(4))}`)
+  const more = candidates.length > MAX_SHOWN_CANDIDATES ? `, ${candidates.length - MAX_SHOWN_CANDIDATES} more` : ''
   return ` Costs: ${shown.join(', ')}${more}.`
 }
 
 function formatDecision (decision: Decision, start: number): string {
   const { kind, at, rule, server, verdict, message } = decision
-  const after = `+${Math.round(at - start)} ms`.padStart(10)
-  const where = server === '' ? '' : ` at ${server}`
-  const why = rule === '' ? '' : ` by rule ${rule}`
-  const word = verdict === undefined ? '' : ` (${verdict})`
-  const text = message === '' ? '' : `: ${message}`
-  return `${after}  ${kind}${where}${why}${word}${text}${formatCandidates(decision)}`
+  const elapsed = `+${Math.round(at - start)} ms`.padStart(10)
+  const serverText = server === '' ? '' : ` at ${server}`
+  const ruleText = rule === '' ? '' : ` by rule ${rule}`
+  const verdictText = verdict === undefined ? '' : ` (${verdict})`
+  const messageText = message === '' ? '' : `: ${message}`
+  return `${elapsed}  ${kind}${serverText}${ruleText}${verdictText}${messageText}${formatCandidates(decision)}`
 }
 
 export function formatExplanation (explanation: Explanation): string {
--- a/packages/foxtaillever/src/format/formatJson.ts
+++ b/packages/foxtaillever/src/format/formatJson.ts
@@ -1,6 +1,4 @@
-/**
- * JSON with sorted keys, so that two outputs can be compared line by line.
- */
+/** Sorts the keys of objects at all depths, so that two outputs can be compared line by line. */
 export function sortKeys (value: unknown): unknown {
   if (Array.isArray(value)) {
     return value.map(sortKeys)
@@ -8,7 +6,7 @@
   if (typeof value !== 'object' || value === null) {
     return value
   }
-  const entries = Object.entries(value).sort(([one], [other]) => one < other ? -1 : 1)
+  const entries = Object.entries(value).sort(([a], [b]) => a < b ? -1 : 1)
   return Object.fromEntries(entries.map(([key, part]) => [key, sortKeys(part)]))
 }
 
--- a/packages/foxtaillever/src/format/formatTable.ts
+++ b/packages/foxtaillever/src/format/formatTable.ts
@@ -1,14 +1,14 @@
 /**
- * Tables for people: columns as wide as their widest cell, no frames, so that
- * they can be read, cut and searched.
+ * Formats tables without frames, each column as wide as its widest cell, so that
+ * `cut` and `grep` work on them.
  */
 export type Row = readonly string[]
 
 const GAP = '  '
 
-export function formatTable (heads: Row, rows: readonly Row[]): string {
-  const all = [heads, ...rows]
-  const widths = heads.map((_, column) => Math.max(...all.map(row => (row[column] ?? '').length)))
+export function formatTable (headers: Row, rows: readonly Row[]): string {
+  const all = [headers, ...rows]
+  const widths = headers.map((_, column) => Math.max(...all.map(row => (row[column] ?? '').length)))
   return all.map(row => formatRow(row, widths)).join('')
 }
 
--- a/packages/foxtaillever/src/format/formatValues.ts
+++ b/packages/foxtaillever/src/format/formatValues.ts
@@ -1,6 +1,4 @@
-/**
- * Single values as people read them.
- */
+/** Formats single values of tables and sentences. */
 
 export function formatInstant (instant: number): string {
   return new Date(instant).toISOString()
@@ -10,7 +8,7 @@
   return share === undefined ? '-' : `${(share * 100).toFixed(1)} %`
 }
 
-/** The upper end of a bucket, in seconds. */
+/** Formats the upper bound of a histogram bucket, in seconds. */
 export function formatSeconds (seconds: number | undefined): string {
   if (seconds === undefined) {
     return '-'
@@ -19,6 +17,6 @@
 }
 
 export function formatCounts (counts: Readonly<Record<string, number>>): string {
-  const shown = Object.entries(counts).filter(([, count]) => count > 0).sort(([one], [other]) => one < other ? -1 : 1)
+  const shown = Object.entries(counts).filter(([, count]) => count > 0).sort(([a], [b]) => a < b ? -1 : 1)
   return shown.length === 0 ? '-' : shown.map(([name, count]) => `${name} ${count}`).join(', ')
 }
--- a/packages/foxtaillever/src/format/subtractFigures.ts
+++ b/packages/foxtaillever/src/format/subtractFigures.ts
@@ -1,10 +1,10 @@
 /**
- * What was counted between two samples of one instance. One that restarted in
- * between has counted anew, so its later sample stands alone.
+ * Computes what an instance counted between two samples. An instance that
+ * restarted in between began again at zero, so its later sample is used as it is.
  */
 import type { Figures } from 'foxtaillever-control'
 
-function subtractTable (later: Readonly<Record<string, number>>, earlier: Readonly<Record<string, number>>): Record<string, number> {
+function subtractCounts (later: Readonly<Record<string, number>>, earlier: Readonly<Record<string, number>>): Record<string, number> {
   return Object.fromEntries(Object.entries(later).map(([key, count]) => [key, count - (earlier[key] ?? 0)]))
 }
 
@@ -16,8 +16,8 @@
     ...later,
     startedAt: earlier.takenAt,
     served: later.served - earlier.served,
-    refused: subtractTable(later.refused, earlier.refused),
-    failed: subtractTable(later.failed, earlier.failed),
+    refused: subtractCounts(later.refused, earlier.refused),
+    failed: subtractCounts(later.failed, earlier.failed),
     late: later.late - earlier.late,
     retried: later.retried - earlier.retried,
     promptTokens: later.promptTokens - earlier.promptTokens,
--- a/packages/foxtaillever/src/operatorCommand.ts
+++ b/packages/foxtaillever/src/operatorCommand.ts
@@ -1,12 +1,12 @@
 /**
- * What all commands that speak to instances share: where to, with which token,
- * in which form to answer, and how to end on a failure.
+ * Base of all commands that call instances: the options for addresses, token and
+ * output format, and the message and exit code of a failure.
  */
 import { Command, Option } from 'clipanion'
 import type { Failure } from 'foxtaillever-core'
 import { EitherAsync, type Either } from 'purify-ts'
 import { Connection } from './connection/connection.js'
-import { ExitCode, exitCodeOf, mendOf } from './exitCode.js'
+import { ExitCode, exitCodeOf, describeRemedy } from './exitCode.js'
 import { formatJson } from './format/formatJson.js'
 
 export abstract class OperatorCommand extends Command {
@@ -14,7 +14,7 @@
   tokenFile = Option.String('--token-file', { description: 'File with your token; else FOXTAILLEVER_TOKEN.' })
   json = Option.Boolean('--json', false, { description: 'Answer with JSON, keys sorted.' })
 
-  /** Runs with a connection, or ends with the failure. */
+  /** Runs `run` with a connection; prints the failure if there is one. */
   protected async withConnection (run: (connection: Connection) => Promise<Either<Failure, ExitCode>>): Promise<ExitCode> {
     const { address, tokenFile } = this
     const result = await EitherAsync.fromPromise(async () => await Connection.create({ address, tokenFile, env: this.context.env }))
@@ -23,7 +23,7 @@
     return result.caseOf({ Left: failure => this.fail(failure), Right: code => code })
   }
 
-  /** Prints the value as JSON, or as the text for people. */
+  /** Prints the value as JSON, or the text without `--json`. */
   protected print (value: unknown, text: () => string): ExitCode {
     this.context.stdout.write(this.json ? formatJson(value) : text())
     return ExitCode.Done
@@ -31,7 +31,7 @@
 
   protected fail (failure: Failure): ExitCode {
     const { code, verdict, message } = failure
-    const mend = mendOf(failure)
+    const mend = describeRemedy(failure)
     const line = this.json ? formatJson({ error: { code, verdict, message, mend } }) : `${message} (${verdict}) ${mend}`.trimEnd() + '\n'
     this.context.stderr.write(line)
     return exitCodeOf(failure)
--- a/packages/foxtaillever/src/publish/confirm.ts
+++ b/packages/foxtaillever/src/publish/confirm.ts
@@ -1,6 +1,4 @@
-/**
- * Asks before traffic moves. Where nobody can be asked, nothing is done.
- */
+/** Asks the operator for a confirmation. Without a terminal the answer is no. */
 import { createInterface } from 'node:readline/promises'
 import type { BaseContext } from 'clipanion'
 
--- a/packages/foxtaillever/src/publish/loadPublication.ts
+++ b/packages/foxtaillever/src/publish/loadPublication.ts
@@ -1,14 +1,12 @@
-/**
- * The configuration that a file would give over the one in force.
- */
+/** Loads a configuration file as a function that merges it into the configuration in force. */
 import { Failure, FailureCode, type Configuration } from 'foxtaillever-core'
 import { createConfiguration, linesOf, loadConfigurationFile } from 'foxtaillever-settings'
 import type { Either } from 'purify-ts'
 
-export type Publishing = (current: Configuration) => Configuration
+export type MergeConfiguration = (current: Configuration) => Configuration
 
-/** The left side holds all complaints, one a line. */
-export async function loadPublication (file: string): Promise<Either<Failure, Publishing>> {
+/** The message of a failure lists all errors of the file, one a line. */
+export async function loadPublication (file: string): Promise<Either<Failure, MergeConfiguration>> {
   const loaded = await loadConfigurationFile(file)
   return loaded
     .mapLeft(() => Failure.notRun(FailureCode.BadRequest, linesOf(loaded).join('\n')))
--- a/packages/foxtaillever/src/publish/publishCommand.ts
+++ b/packages/foxtaillever/src/publish/publishCommand.ts
@@ -1,7 +1,7 @@
 /**
- * What all commands that change the configuration share: they show the change,
- * ask when traffic moves, publish on the revision they saw, and say what became
- * of it.
+ * Base of all commands that change the configuration. They show the changes, ask
+ * for a confirmation if traffic may move, publish against the revision that they
+ * read, and print the outcome.
  */
 import { Option } from 'clipanion'
 import type { Configuration, Failure } from 'foxtaillever-core'
@@ -13,27 +13,27 @@
 import { OperatorCommand } from '../operatorCommand.js'
 import { confirm } from './confirm.js'
 
-/** How long the log may take, milliseconds. */
+/** How long the log may take to accept a publication, milliseconds. */
 const PUBLICATION_WAIT_MS = 10_000
 
-/** How long all instances may take, milliseconds; 8 s are promised. */
+/** How long all instances may take to put it in force, milliseconds; 8 s are promised. */
 const IN_FORCE_WAIT_MS = 15_000
 
-/** What became of a publication, as JSON. */
-interface Report {
+/** Outcome of a publication, as `--json` prints it. */
+interface PublicationReport {
   readonly changes: readonly string[]
   readonly publication?: Publication
   readonly inForce?: InForce
 }
 
-const exitCodes: Record<PublicationOutcome, ExitCode> = {
+const outcomeExitCodes: Record<PublicationOutcome, ExitCode> = {
   [PublicationOutcome.Accepted]: ExitCode.Done,
   [PublicationOutcome.Refused]: ExitCode.Refused,
   [PublicationOutcome.NotPublished]: ExitCode.Refused,
   [PublicationOutcome.Unknown]: ExitCode.Unknown
 }
 
-const sayings: Record<PublicationOutcome, (publication: Publication) => string> = {
+const outcomeMessages: Record<PublicationOutcome, (publication: Publication) => string> = {
   [PublicationOutcome.Accepted]: ({ revision }) => `Accepted as revision ${revision}.`,
   [PublicationOutcome.Refused]: ({ message, revision, author }) => `Refused: ${message} Revision ${revision} of ${author || 'nobody'} is in force. Look at it with \`foxtaillever config show\`, then try again.`,
   [PublicationOutcome.NotPublished]: ({ message }) => `Not published: ${message} Try again later.`,
@@ -44,10 +44,10 @@
   yes = Option.Boolean('--yes', false, { description: 'Do not ask, also when traffic moves.' })
   wait = Option.Boolean('--wait', false, { description: 'Wait until all instances have it in force; name those that have not.' })
 
-  /** Publishes what `decide` makes of the configuration in force. */
-  protected async publish (decide: (configuration: Configuration) => Either<Failure, readonly Change[]>): Promise<ExitCode> {
-    return await this.withConnection(async connection => await EitherAsync.fromPromise(async () => await connection.ask(async client => await client.configuration()))
-      .chain(async ({ configuration }) => await EitherAsync.liftEither(decide(configuration))
+  /** Publishes the changes that `createChanges` derives from the configuration in force. */
+  protected async publish (createChanges: (configuration: Configuration) => Either<Failure, readonly Change[]>): Promise<ExitCode> {
+    return await this.withConnection(async connection => await EitherAsync.fromPromise(async () => await connection.call(async client => await client.configuration()))
+      .chain(async ({ configuration }) => await EitherAsync.liftEither(createChanges(configuration))
         .chain(async changes => await this.publishChanges(connection, configuration, changes))
         .run())
       .run())
@@ -64,22 +64,22 @@
     if (doesMoveTraffic(changes) && !this.yes && !await confirm(this.context, `This may move traffic of revision ${configuration.revision}.`)) {
       return Right(ExitCode.NotConfirmed)
     }
-    const published = await connection.ask(async client => await client.publish(configuration.revision, changes, PUBLICATION_WAIT_MS))
+    const published = await connection.call(async client => await client.publish(configuration.revision, changes, PUBLICATION_WAIT_MS))
     return await EitherAsync.liftEither(published)
-      .chain(async publication => await this.conclude(connection, { changes: lines, publication }))
+      .chain(async publication => await this.reportOutcome(connection, { changes: lines, publication }))
       .run()
   }
 
-  private async conclude (connection: Connection, report: Required<Pick<Report, 'changes' | 'publication'>>): Promise<Either<Failure, ExitCode>> {
+  private async reportOutcome (connection: Connection, report: Required<Pick<PublicationReport, 'changes' | 'publication'>>): Promise<Either<Failure, ExitCode>> {
     const { publication } = report
     const accepted = publication.outcome === PublicationOutcome.Accepted
     if (!this.wait || !accepted) {
-      this.print(report, () => `${sayings[publication.outcome](publication)}\n`)
-      return Right(exitCodes[publication.outcome])
+      this.print(report, () => `${outcomeMessages[publication.outcome](publication)}\n`)
+      return Right(outcomeExitCodes[publication.outcome])
     }
-    const waited = await connection.ask(async client => await client.waitInForce(publication.revision, IN_FORCE_WAIT_MS))
+    const waited = await connection.call(async client => await client.waitInForce(publication.revision, IN_FORCE_WAIT_MS))
     return waited.map(inForce => {
-      this.print({ ...report, inForce }, () => `${sayings[publication.outcome](publication)}\n${describeInForce(inForce)}\n`)
+      this.print({ ...report, inForce }, () => `${outcomeMessages[publication.outcome](publication)}\n${describeInForce(inForce)}\n`)
       return inForce.missing.length === 0 ? ExitCode.Done : ExitCode.NotEverywhere
     })
   }
