--- a/packages/foxtaillever-capacity/src/commands/all.ts
+++ b/packages/foxtaillever-capacity/src/commands/all.ts
@@ -3,7 +3,7 @@
  */
 import { Command, Option } from 'clipanion'
 
-const PARTS = ['costs', 'loads', 'events']
+const SUBCOMMANDS = ['costs', 'loads', 'events']
 
 export class AllCommand extends Command {
   static override paths = [['all'], Command.Default]
@@ -12,8 +12,8 @@
   sizes = Option.String('--sizes', '9,50,150,300', { description: 'Fleets to measure, in members.' })
 
   async execute (): Promise<number> {
-    for (const part of PARTS) {
-      await this.cli.run([part])
+    for (const subcommand of SUBCOMMANDS) {
+      await this.cli.run([subcommand])
     }
     return await this.cli.run(['members', '--sizes', this.sizes])
   }
--- a/packages/foxtaillever-capacity/src/commands/costs.ts
+++ b/packages/foxtaillever-capacity/src/commands/costs.ts
@@ -1,11 +1,11 @@
 /**
- * Prints the cost of single pieces of control work and, from them, of each way
- * of spreading soft state.
+ * Prints the cost of single operations of control work and, computed from them,
+ * of each scheme that disseminates soft state.
  */
 import { Command } from 'clipanion'
 import { measureFold } from '../measures/foldCost.js'
 import { measureMessage } from '../measures/messageCost.js'
-import { bytesEach, measureCosts, weighSchemes } from '../measures/schemes.js'
+import { measureSizes, measureCosts, computeSchemeCosts } from '../measures/schemes.js'
 import { createTable, type Row } from '../report/table.js'
 import { limits, SECONDS_PER_DAY, twoYearSize } from '../sizes.js'
 
@@ -13,24 +13,24 @@
 
 const MICROSECONDS_PER_PERCENT = 1e4
 
-function messageRows (): readonly Row[] {
+function createMessageRows (): readonly Row[] {
   const kinds: readonly (readonly [string, number, number])[] = [['probe or answer', 1, 0], ['one fact', 0, 1], ['twelve facts', 0, 12], ['ten entries', 10, 0]]
   return kinds.map(([title, entries, facts]) => {
-    const { bytes, makeMicroseconds, takeMicroseconds } = measureMessage(entries, facts)
-    return [title, bytes, makeMicroseconds, takeMicroseconds]
+    const { bytes, encodeMicroseconds, decodeMicroseconds } = measureMessage(entries, facts)
+    return [title, bytes, encodeMicroseconds, decodeMicroseconds]
   })
 }
 
-function schemeRows (): readonly Row[] {
+function createSchemeRows (): readonly Row[] {
   const costs = measureCosts()
-  return SIZES.flatMap(size => weighSchemes(size, costs).map(({ scheme, sentPerSecond, receivedPerSecond, corePercent }): Row => {
+  return SIZES.flatMap(size => computeSchemeCosts(size, costs).map(({ scheme, sentPerSecond, receivedPerSecond, corePercent }): Row => {
     const bytes = sentPerSecond + receivedPerSecond
     const fits = bytes <= limits.bytesPerSecond && corePercent <= limits.corePercent
     return [scheme, size, sentPerSecond, receivedPerSecond, corePercent, fits ? 'fits' : 'does not fit']
   }))
 }
 
-function foldRows (): readonly Row[] {
+function createFoldRows (): readonly Row[] {
   const cost = measureFold()
   const changesPerSecond = twoYearSize.changesPerDay / SECONDS_PER_DAY
   return [
@@ -42,9 +42,9 @@
     ['810 changes a day, % of a core', cost.changeMicroseconds * changesPerSecond / MICROSECONDS_PER_PERCENT],
     ['810 changes a day, bytes/s', cost.changeBytes * changesPerSecond],
     ['start from a snapshot, ms', cost.snapshotMicroseconds / 1000],
-    ['give a copy, ms', cost.giveMicroseconds / 1000],
-    ['take a copy, ms', cost.takeMicroseconds / 1000],
-    ['pass over a record of another kind, µs', cost.otherRecordMicroseconds]
+    ['give a copy, ms', cost.sendCopyMicroseconds / 1000],
+    ['take a copy, ms', cost.receiveCopyMicroseconds / 1000],
+    ['pass over a record of another kind, µs', cost.skipRecordMicroseconds]
   ]
 }
 
@@ -53,11 +53,11 @@
   static override usage = Command.Usage({ description: 'Measure single messages and the fold, and weigh the ways of spreading soft state.' })
 
   async execute (): Promise<void> {
-    const { fixed, fact, entry } = bytesEach()
+    const { fixed, fact, entry } = measureSizes()
     const print = (text: string): void => { this.context.stdout.write(`${text}\n`) }
-    print(createTable('One message', ['', 'bytes with headers', 'make, µs', 'take, µs'], messageRows()))
+    print(createTable('One message', ['', 'bytes with headers', 'make, µs', 'take, µs'], createMessageRows()))
     print(`An empty message takes ${fixed} bytes with headers; a fact adds ${fact}, an entry ${entry}.\n`)
-    print(createTable('Ways to tell one fact a second from each member to all', ['', 'members', 'sent, bytes/s', 'received, bytes/s', '% of a core', ''], schemeRows()))
-    print(createTable('Configuration at the two-year size', ['', ''], foldRows()))
+    print(createTable('Ways to tell one fact a second from each member to all', ['', 'members', 'sent, bytes/s', 'received, bytes/s', '% of a core', ''], createSchemeRows()))
+    print(createTable('Configuration at the two-year size', ['', ''], createFoldRows()))
   }
 }
--- a/packages/foxtaillever-capacity/src/commands/events.ts
+++ b/packages/foxtaillever-capacity/src/commands/events.ts
@@ -1,9 +1,9 @@
 /**
- * Prints what cache events add to placement over computed homes and the usage
- * that answers report.
+ * Prints how much cache events improve placement that otherwise knows the computed
+ * homes and the usage that answers report.
  */
 import { Command } from 'clipanion'
-import { measureEventWorth, type Scale } from '../measures/eventWorth.js'
+import { comparePlacements, type Scale } from '../measures/comparePlacements.js'
 import { createTable, type Row } from '../report/table.js'
 
 const SEEDS = [1, 2]
@@ -14,16 +14,16 @@
   { title: 'the two-year size: 380 daemons, 670 workers, 5,500 requests/s', daemons: 380, workers: 670, requestsPerSecond: 5500, prefixes: 15_000 }
 ]
 
-function meanOf (values: readonly number[]): number {
+function mean (values: readonly number[]): number {
   return values.reduce((sum, value) => sum + value, 0) / values.length
 }
 
-function rowsOf (scale: Scale): readonly Row[] {
-  const runs = SEEDS.map(seed => measureEventWorth(scale, seed))
+function createRows (scale: Scale): readonly Row[] {
+  const runs = SEEDS.map(seed => comparePlacements(scale, seed))
   return runs[0]!.map(({ kind }, index) => {
-    const worths = runs.map(run => run[index]!)
-    const rates = worths.map(({ hitRate }) => hitRate * 100)
-    return [kind, meanOf(rates), Math.max(...rates) - Math.min(...rates), meanOf(worths.map(({ p50 }) => p50)), meanOf(worths.map(({ p99 }) => p99))]
+    const results = runs.map(run => run[index]!)
+    const rates = results.map(({ hitRate }) => hitRate * 100)
+    return [kind, mean(rates), Math.max(...rates) - Math.min(...rates), mean(results.map(({ p50 }) => p50)), mean(results.map(({ p99 }) => p99))]
   })
 }
 
@@ -33,8 +33,8 @@
 
   async execute (): Promise<void> {
     for (const scale of scales) {
-      const heads = ['', 'hit rate, %', 'spread over seeds', 'first token p50, ms', 'p99, ms']
-      this.context.stdout.write(`${createTable(scale.title, heads, rowsOf(scale))}\n`)
+      const headers = ['', 'hit rate, %', 'spread over seeds', 'first token p50, ms', 'p99, ms']
+      this.context.stdout.write(`${createTable(scale.title, headers, createRows(scale))}\n`)
     }
   }
 }
--- a/packages/foxtaillever-capacity/src/measures/eventWorth.ts
+++ b/packages/foxtaillever-capacity/src/measures/comparePlacements.ts
@@ -1,13 +1,13 @@
 /**
- * What cache events add to placement: one model of workers and daemons, run
- * from the same seed with four states of knowledge. It holds only what the
- * question needs: caches that evict, loads that are known late, hot prefixes
- * that shift, and workers that restart.
+ * Measures how much cache events improve placement: a model of workers and daemons
+ * runs from the same seed with four levels of knowledge. It models only what
+ * influences the result: caches that evict, loads that are known late, hot prefixes
+ * that change, and workers that restart.
  */
 import { exponential, hashNumber, SeededRandom } from 'foxtaillever-core'
 import { homesOf, type Named } from 'foxtaillever-fleet'
-import { quantilesOf } from '../report/quantiles.js'
-import { KnowledgeKind, knowledges, type PlacementKnowledge } from './eventKnowledge.js'
+import { computeQuantiles } from '../report/quantiles.js'
+import { KnowledgeKind, knowledgeFactories, type PlacementKnowledge } from './placementKnowledge.js'
 import { ModelWorker } from './modelWorker.js'
 
 export interface Scale {
@@ -18,9 +18,9 @@
   readonly prefixes: number
 }
 
-export interface EventWorth {
+export interface PlacementResult {
   readonly kind: KnowledgeKind
-  /** Cached tokens of all prompt tokens. */
+  /** Cached tokens as a share of all prompt tokens. */
   readonly hitRate: number
   /** Time to first token, milliseconds. */
   readonly p50: number
@@ -29,25 +29,25 @@
 
 const SECONDS = 45
 const SECOND_MS = 1000
-/** Hot prefixes shift this often, milliseconds. */
-const SHIFT_MS = 15_000
-/** One worker restarts this often, milliseconds. */
+/** Interval at which the hot prefixes change, milliseconds. */
+const POPULARITY_SHIFT_MS = 15_000
+/** Interval at which one worker restarts, milliseconds. */
 const RESTART_MS = 5000
-/** What a daemon knows of loads is up to this old, milliseconds. */
+/** Interval of load reports, so a daemon's loads are at most this old, milliseconds. */
 const LOAD_PERIOD_MS = 1000
 /** Homes of a prefix that is not hot. */
-const FEWEST_HOMES = 2
+const MIN_HOMES = 2
 /** Share of a home's time that one prefix's cached requests may take; beyond it the home set grows. */
 const HOME_SHARE = 0.3
-/** Random part of a cost, milliseconds; without it all daemons choose by the same old number alike. */
-const NOISE_MS = 30
+/** Largest random part of a cost, milliseconds. Without it all daemons choose the same worker from the same outdated load. */
+const MAX_NOISE_MS = 30
 const PREFIX_TOKENS = 4000
 const QUESTION_TOKENS = 200
 /** Exponent of the popularity of prefixes. */
 const SKEW = 1.1
 
 class Popularity {
-  private readonly sums: number[] = []
+  private readonly cumulativeWeights: number[] = []
 
   private constructor (private readonly count: number) {}
 
@@ -56,26 +56,26 @@
     let sum = 0
     for (let rank = 1; rank <= count; rank += 1) {
       sum += rank ** -SKEW
-      popularity.sums.push(sum)
+      popularity.cumulativeWeights.push(sum)
     }
     return popularity
   }
 
-  /** The prefix of a request; which ones are hot changes with the shift. */
-  draw (random: SeededRandom, shift: number): number {
-    const point = random.next() * this.sums.at(-1)!
-    const rank = this.sums.findIndex(sum => sum >= point)
+  /** Draws the prefix of a request; the shift determines which prefixes are hot. */
+  drawPrefix (random: SeededRandom, shift: number): number {
+    const point = random.next() * this.cumulativeWeights.at(-1)!
+    const rank = this.cumulativeWeights.findIndex(sum => sum >= point)
     return (rank + hashNumber(`shift-${shift}`)) % this.count
   }
 }
 
-class EventModel {
+class PlacementModel {
   private readonly random: SeededRandom
   private readonly workers: readonly ModelWorker[]
   private readonly named: readonly Named[]
   private readonly homes = new Map<string, readonly number[]>()
-  private heat = new Map<number, number>()
-  private lastHeat = new Map<number, number>()
+  private requestCounts = new Map<number, number>()
+  private lastRequestCounts = new Map<number, number>()
   private readonly popularity: Popularity
   private readonly firstTokens: number[] = []
   private cachedTokens = 0
@@ -88,10 +88,10 @@
     this.popularity = Popularity.create(scale.prefixes)
   }
 
-  static run (scale: Scale, kind: KnowledgeKind, seed: number): EventWorth {
-    const model = new EventModel(scale, knowledges[kind](scale.daemons), seed)
+  static run (scale: Scale, kind: KnowledgeKind, seed: number): PlacementResult {
+    const model = new PlacementModel(scale, knowledgeFactories[kind](scale.daemons), seed)
     model.run()
-    const { p50, p99 } = quantilesOf(model.firstTokens)
+    const { p50, p99 } = computeQuantiles(model.firstTokens)
     return { kind, hitRate: model.cachedTokens / model.promptTokens, p50, p99 }
   }
 
@@ -102,53 +102,53 @@
     while (now < SECONDS * SECOND_MS) {
       now += exponential(this.random, SECOND_MS / this.scale.requestsPerSecond)
       if (now >= reportAt) {
-        this.workers.forEach(worker => worker.report())
-        this.knowledge.observe(this.workers, now)
-        this.lastHeat = this.heat
-        this.heat = new Map()
+        this.workers.forEach(worker => worker.reportLoad())
+        this.knowledge.applyReports(this.workers, now)
+        this.lastRequestCounts = this.requestCounts
+        this.requestCounts = new Map()
         reportAt = now + LOAD_PERIOD_MS
       }
       if (now >= restartAt) {
         this.workers[this.random.below(this.workers.length)]!.restart()
         restartAt = now + RESTART_MS
       }
-      this.serve(now)
+      this.serveRequest(now)
     }
   }
 
-  private serve (now: number): void {
+  private serveRequest (now: number): void {
     const daemon = this.random.below(this.scale.daemons)
-    const prefix = this.popularity.draw(this.random, Math.floor(now / SHIFT_MS))
-    this.heat.set(prefix, (this.heat.get(prefix) ?? 0) + 1)
-    const candidates = this.knowledge.candidates(this.homesOf(prefix), prefix)
-    const costs = candidates.map(index => this.costOf(daemon, index, prefix, now))
+    const prefix = this.popularity.drawPrefix(this.random, Math.floor(now / POPULARITY_SHIFT_MS))
+    this.requestCounts.set(prefix, (this.requestCounts.get(prefix) ?? 0) + 1)
+    const candidates = this.knowledge.candidates(this.findHomes(prefix), prefix)
+    const costs = candidates.map(index => this.estimateCost(daemon, index, prefix, now))
     const index = candidates[costs.indexOf(Math.min(...costs))]!
     const { cached, firstTokenAt } = this.workers[index]!.run(prefix, PREFIX_TOKENS, QUESTION_TOKENS, now)
-    this.knowledge.learn(daemon, index, prefix, cached > 0, now)
+    this.knowledge.recordUsage(daemon, index, prefix, cached > 0, now)
     this.cachedTokens += cached
     this.promptTokens += PREFIX_TOKENS + QUESTION_TOKENS
     this.firstTokens.push(firstTokenAt - now)
   }
 
-  /** Expected time to first token, with noise so that daemons do not all choose alike. */
-  private costOf (daemon: number, index: number, prefix: number, now: number): number {
+  /** Estimates the time to first token, with noise so that daemons do not all choose the same worker. */
+  private estimateCost (daemon: number, index: number, prefix: number, now: number): number {
     const worker = this.workers[index]!
     const uncached = this.knowledge.isCached(daemon, index, prefix, now) ? 0 : worker.prefillMs(PREFIX_TOKENS)
-    return worker.reportedWait(now) + uncached + NOISE_MS * this.random.next()
+    return worker.reportedWait(now) + uncached + MAX_NOISE_MS * this.random.next()
   }
 
-  /** As many as the prefix's requests of the last second need when cached. */
-  private homeCount (prefix: number): number {
-    const busyMs = (this.lastHeat.get(prefix) ?? 0) * this.workers[0]!.prefillMs(QUESTION_TOKENS)
-    return Math.max(FEWEST_HOMES, Math.ceil(busyMs / (LOAD_PERIOD_MS * HOME_SHARE)))
+  /** Counts the homes that the prefix's requests of the last second need if it is cached there. */
+  private countHomes (prefix: number): number {
+    const busyMs = (this.lastRequestCounts.get(prefix) ?? 0) * this.workers[0]!.prefillMs(QUESTION_TOKENS)
+    return Math.max(MIN_HOMES, Math.ceil(busyMs / (LOAD_PERIOD_MS * HOME_SHARE)))
   }
 
-  private homesOf (prefix: number): readonly number[] {
-    const count = this.homeCount(prefix)
+  private findHomes (prefix: number): readonly number[] {
+    const count = this.countHomes(prefix)
     const key = `${prefix}/${count}`
-    const known = this.homes.get(key)
-    if (known) {
-      return known
+    const existing = this.homes.get(key)
+    if (existing) {
+      return existing
     }
     const homes = homesOf(`prefix-${prefix}`, this.named, count).map(({ name }) => Number(name))
     this.homes.set(key, homes)
@@ -156,6 +156,6 @@
   }
 }
 
-export function measureEventWorth (scale: Scale, seed: number): readonly EventWorth[] {
-  return Object.values(KnowledgeKind).map(kind => EventModel.run(scale, kind, seed))
+export function comparePlacements (scale: Scale, seed: number): readonly PlacementResult[] {
+  return Object.values(KnowledgeKind).map(kind => PlacementModel.run(scale, kind, seed))
 }
--- a/packages/foxtaillever-capacity/src/measures/foldCost.ts
+++ b/packages/foxtaillever-capacity/src/measures/foldCost.ts
@@ -1,48 +1,46 @@
-/**
- * What the configuration costs one daemon at the two-year size.
- */
+/** Measures what the configuration costs one daemon at the two-year size. */
 import { setFlagsFromString } from 'node:v8'
 import { runInNewContext } from 'node:vm'
 import { RecordKind, type LogRecord } from 'foxtaillever-core'
 import { ConfigurationStore, isIntact, openValue, sealValue, KeyRing, Permission, type FoldedConfiguration } from 'foxtaillever-fleet'
-import { createAccountChange, createWholeRecord } from './syntheticConfiguration.js'
-import { microsecondsOf } from './timing.js'
+import { createAccountChange, createFullRecord } from './syntheticConfiguration.js'
+import { measureMicroseconds } from './timing.js'
 
 export interface FoldCost {
   /** The snapshot record as JSON, bytes. */
   readonly snapshotBytes: number
-  /** One change of an account, as it stands in the log, bytes. */
+  /** Log record of one change of an account, bytes. */
   readonly changeBytes: number
-  /** Copy for a peer, sealed and in text, bytes. */
+  /** Sealed copy for a peer, as text, bytes. */
   readonly copyBytes: number
   readonly heapBytes: number
   readonly changeMicroseconds: number
-  /** Start from a snapshot: parse, check, fold. */
+  /** Starting from a snapshot: parse, check and fold. */
   readonly snapshotMicroseconds: number
-  /** Answer a peer's call for the copy. */
-  readonly giveMicroseconds: number
-  /** Take a peer's copy and check its digest. */
-  readonly takeMicroseconds: number
-  /** Read and pass over one record of another kind, parsed from a page. */
-  readonly otherRecordMicroseconds: number
+  /** Sealing the copy that answers a peer's call. */
+  readonly sendCopyMicroseconds: number
+  /** Opening a peer's copy and checking its digest. */
+  readonly receiveCopyMicroseconds: number
+  /** Parsing and skipping one record of another kind. */
+  readonly skipRecordMicroseconds: number
 }
 
-const HISTORY = 1000
+const SAMPLE_OFFSET = 1000
 
 setFlagsFromString('--expose-gc')
 const collectGarbage = runInNewContext('gc') as () => void
 
-function heapNow (): number {
+function measureHeap (): number {
   collectGarbage()
   return process.memoryUsage().heapUsed
 }
 
-function createFull (): { readonly store: ConfigurationStore, readonly heapBytes: number } {
-  const before = heapNow()
+function createFullStore (): { readonly store: ConfigurationStore, readonly heapBytes: number } {
+  const before = measureHeap()
   const store = ConfigurationStore.create()
-  // Parsed anew, so that strings are counted as a reader of the log holds them.
-  store.take(JSON.parse(JSON.stringify(createWholeRecord(1))) as LogRecord)
-  return { store, heapBytes: heapNow() - before }
+  // Serialised and parsed, so that strings occupy the memory that they do after reading the log.
+  store.take(JSON.parse(JSON.stringify(createFullRecord(1))) as LogRecord)
+  return { store, heapBytes: measureHeap() - before }
 }
 
 function createClaims (offset: number): LogRecord {
@@ -50,26 +48,26 @@
 }
 
 export function measureFold (): FoldCost {
-  const { store, heapBytes } = createFull()
+  const { store, heapBytes } = createFullStore()
   const keys = KeyRing.create([{ id: 'k1', secret: 'a secret for measurements', permissions: [Permission.Join] }])
   const copy = store.current()
   const snapshot = JSON.stringify({ offset: 2, id: 'snapshot', kind: RecordKind.Snapshot, writtenAt: 0, appendedAt: 0, body: copy })
   const { sealed } = sealValue(keys, { nonce: 'n', value: copy })
   const offset = (): number => store.current().offset + 1
-  const change = microsecondsOf(() => store.take(createAccountChange(offset(), store.configuration().revision)))
+  const change = measureMicroseconds(() => store.take(createAccountChange(offset(), store.configuration().revision)))
   const claims = JSON.stringify(createClaims(1))
   return {
     snapshotBytes: snapshot.length,
-    changeBytes: JSON.stringify(createAccountChange(HISTORY, HISTORY)).length,
+    changeBytes: JSON.stringify(createAccountChange(SAMPLE_OFFSET, SAMPLE_OFFSET)).length,
     copyBytes: sealed.length,
     heapBytes,
     changeMicroseconds: change,
-    snapshotMicroseconds: microsecondsOf(() => { ConfigurationStore.create().take(JSON.parse(snapshot) as LogRecord) }),
-    giveMicroseconds: microsecondsOf(() => { sealValue(keys, { nonce: 'n', value: copy }) }),
-    takeMicroseconds: microsecondsOf(() => {
-      const taken = openValue<{ value: FoldedConfiguration }>(keys, sealed).extract()
-      isIntact(taken!.value)
+    snapshotMicroseconds: measureMicroseconds(() => { ConfigurationStore.create().take(JSON.parse(snapshot) as LogRecord) }),
+    sendCopyMicroseconds: measureMicroseconds(() => { sealValue(keys, { nonce: 'n', value: copy }) }),
+    receiveCopyMicroseconds: measureMicroseconds(() => {
+      const opened = openValue<{ value: FoldedConfiguration }>(keys, sealed).extract()
+      isIntact(opened!.value)
     }),
-    otherRecordMicroseconds: microsecondsOf(() => { store.take({ ...JSON.parse(claims) as LogRecord, offset: offset() }) })
+    skipRecordMicroseconds: measureMicroseconds(() => { store.take({ ...JSON.parse(claims) as LogRecord, offset: offset() }) })
   }
 }
--- a/packages/foxtaillever-capacity/src/measures/logCost.ts
+++ b/packages/foxtaillever-capacity/src/measures/logCost.ts
@@ -1,28 +1,28 @@
 /**
- * What reading the platform's log costs one daemon: an idle long poll over
- * HTTP, and the records of claims, which every daemon reads.
+ * Measures what reading the platform's log costs one daemon: an idle long poll over
+ * HTTP, and the claim records, which every daemon reads.
  */
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 import { RecordKind, Verdict, type LogRecord } from 'foxtaillever-core'
 import type { Claim, ClaimsRecord, Outcome } from 'foxtaillever-fleet'
 import { Pool } from 'undici'
-import { microsecondsOf } from './timing.js'
+import { measureMicroseconds } from './timing.js'
 
 export interface LogCost {
-  /** One poll that brings nothing: question, answer and their packets' headers, bytes. */
+  /** One poll without new records: request, answer and their packet headers, bytes. */
   readonly pollBytes: number
   readonly pollMicroseconds: number
-  /** One claim with its outcome, when many share a record, bytes. */
+  /** One claim with its outcome in a record with many, bytes. */
   readonly claimBytes: number
-  /** To parse it, microseconds; the fold of claims comes on top. */
+  /** Time to parse one claim, microseconds, without the fold of claims. */
   readonly claimMicroseconds: number
 }
 
 const POLLS = 300
 const CLAIMS = 20
-/** IPv4 and TCP headers of a question, an answer and their acknowledgements. */
-const PACKET_BYTES = 4 * 52
+/** IPv4 and TCP headers of a request, an answer and their acknowledgements. */
+const PACKET_HEADER_BYTES = 4 * 52
 
 function createClaim (index: number): Claim {
   return { key: `account-${index}/order-2026-12-02-${index}`, requestId: `request-${index}.1a2b3c4d`, digest: 'd'.repeat(64), createdAt: 1_790_000_000_000 }
@@ -62,7 +62,7 @@
   const bytes = [...sockets].reduce((sum, socket) => sum + socket.bytesRead + socket.bytesWritten, 0)
   await pool.close()
   server.close()
-  return { bytes: bytes / POLLS + PACKET_BYTES, microseconds: (used.user + used.system) / POLLS }
+  return { bytes: bytes / POLLS + PACKET_HEADER_BYTES, microseconds: (used.user + used.system) / POLLS }
 }
 
 export async function measureLog (): Promise<LogCost> {
@@ -72,6 +72,6 @@
     pollBytes: poll.bytes,
     pollMicroseconds: poll.microseconds,
     claimBytes: text.length / CLAIMS,
-    claimMicroseconds: microsecondsOf(() => { JSON.parse(text) }) / CLAIMS
+    claimMicroseconds: measureMicroseconds(() => { JSON.parse(text) }) / CLAIMS
   }
 }
--- a/packages/foxtaillever-capacity/src/measures/messageCost.ts
+++ b/packages/foxtaillever-capacity/src/measures/messageCost.ts
@@ -1,14 +1,15 @@
 /**
- * What one message between instances costs: its bytes, and the processor time
- * to make and to take it, without the system's own time for the socket.
+ * Measures what one message between instances costs: its bytes, and the processor
+ * time to encode and seal it and to open and decode it, without the operating
+ * system's time for the socket.
  */
 import { createMessage, decodeMessage, encodeMessage, FactKind, HEADER_BYTES, KeyRing, MemberState, open, Permission, seal, type Fact, type MemberEntry, type Message } from 'foxtaillever-fleet'
-import { microsecondsOf } from './timing.js'
+import { measureMicroseconds } from './timing.js'
 
 export interface MessageCost {
   readonly bytes: number
-  readonly makeMicroseconds: number
-  readonly takeMicroseconds: number
+  readonly encodeMicroseconds: number
+  readonly decodeMicroseconds: number
 }
 
 const keys = KeyRing.create([{ id: 'k1', secret: 'a secret for measurements', permissions: [Permission.Join] }])
@@ -35,7 +36,7 @@
   })
 }
 
-export function bytesOf (message: Message): number {
+export function countMessageBytes (message: Message): number {
   return seal(keys, Permission.Join, encodeMessage(message)).length + HEADER_BYTES
 }
 
@@ -44,7 +45,7 @@
   const sealed = seal(keys, Permission.Join, encodeMessage(message))
   return {
     bytes: sealed.length + HEADER_BYTES,
-    makeMicroseconds: microsecondsOf(() => { seal(keys, Permission.Join, encodeMessage(message)) }),
-    takeMicroseconds: microsecondsOf(() => { open(keys, Permission.Join, sealed).chain(decodeMessage).extract() })
+    encodeMicroseconds: measureMicroseconds(() => { seal(keys, Permission.Join, encodeMessage(message)) }),
+    decodeMicroseconds: measureMicroseconds(() => { open(keys, Permission.Join, sealed).chain(decodeMessage).extract() })
   }
 }
--- a/packages/foxtaillever-capacity/src/measures/modelWorker.ts
+++ b/packages/foxtaillever-capacity/src/measures/modelWorker.ts
@@ -1,13 +1,13 @@
 /**
- * A worker as the measurement of events needs it: a queue of prefill and a
- * cache of prefixes that evicts the least recently used and the old.
+ * Models a worker for the measurement of cache events: a prefill queue, and a prefix
+ * cache that evicts the least recently used prefixes and expired ones.
  */
 
-/** Prefixes that fit the cache. */
+/** Capacity of the cache, prefixes. */
 const CACHED_PREFIXES = 40
 
-/** How long an unused prefix stays, milliseconds; engines evict within seconds. */
-const KEPT_MS = 8000
+/** How long an unused prefix stays cached, milliseconds; engines evict within seconds. */
+const CACHED_MS = 8000
 
 const PREFILL_TOKENS_PER_MS = 20
 
@@ -33,12 +33,12 @@
     this.starts += 1
   }
 
-  holds (prefix: number, now: number): boolean {
+  isCached (prefix: number, now: number): boolean {
     return (this.cache.get(prefix) ?? 0) > now
   }
 
-  /** Cached prefixes, most recently used first. */
-  held (now: number): readonly number[] {
+  /** Lists cached prefixes, most recently used first. */
+  listCachedPrefixes (now: number): readonly number[] {
     return [...this.cache].filter(([, until]) => until > now).map(([prefix]) => prefix).reverse()
   }
 
@@ -46,7 +46,7 @@
     return tokens / PREFILL_TOKENS_PER_MS
   }
 
-  report (): void {
+  reportLoad (): void {
     this.reportedBusyUntil = this.busyUntil
   }
 
@@ -55,15 +55,15 @@
   }
 
   run (prefix: number, prefixTokens: number, ownTokens: number, now: number): { readonly cached: number, readonly firstTokenAt: number } {
-    const cached = this.holds(prefix, now) ? prefixTokens : 0
+    const cached = this.isCached(prefix, now) ? prefixTokens : 0
     this.busyUntil = Math.max(now, this.busyUntil) + this.prefillMs(prefixTokens - cached + ownTokens)
-    this.keep(prefix, now)
+    this.cachePrefix(prefix, now)
     return { cached, firstTokenAt: this.busyUntil }
   }
 
-  private keep (prefix: number, now: number): void {
+  private cachePrefix (prefix: number, now: number): void {
     this.cache.delete(prefix)
-    this.cache.set(prefix, now + KEPT_MS)
+    this.cache.set(prefix, now + CACHED_MS)
     if (this.cache.size > CACHED_PREFIXES) {
       this.cache.delete(this.cache.keys().next().value!)
     }
--- a/packages/foxtaillever-capacity/src/measures/syntheticConfiguration.ts
+++ b/packages/foxtaillever-capacity/src/measures/syntheticConfiguration.ts
@@ -1,6 +1,4 @@
-/**
- * A configuration of the two-year size, with entries as long as real ones.
- */
+/** Creates records of a configuration of the two-year size, with entries as long as real ones. */
 import { AdministrativeState, PresetName, PriorityClass, RecordKind, ServerKind, type LogRecord } from 'foxtaillever-core'
 import { ChangeKind, type Change } from 'foxtaillever-fleet'
 import { twoYearSize } from '../sizes.js'
@@ -35,16 +33,16 @@
   return { kind: ChangeKind.PutModel, model: { name: `model-${index}`, weightsVersion: 'v1', adapters: [] } }
 }
 
-function times (count: number, create: (index: number) => Change): readonly Change[] {
+function repeatChange (count: number, create: (index: number) => Change): readonly Change[] {
   return Array.from({ length: count }, (_, index) => create(index))
 }
 
-/** One record that puts everything in. */
-export function createWholeRecord (offset: number): LogRecord {
+/** Creates one record that adds all accounts, servers and models. */
+export function createFullRecord (offset: number): LogRecord {
   const changes = [
-    ...times(twoYearSize.accounts, createAccount),
-    ...times(twoYearSize.workers, createServer),
-    ...times(twoYearSize.models, createModel)
+    ...repeatChange(twoYearSize.accounts, createAccount),
+    ...repeatChange(twoYearSize.workers, createServer),
+    ...repeatChange(twoYearSize.models, createModel)
   ]
   return createRecord(offset, 0, changes)
 }
@@ -54,13 +52,13 @@
   return { offset, id: `record-${offset}`, kind: RecordKind.Configuration, writtenAt: now, appendedAt: now, body: { base, author: 'operator', changes } }
 }
 
-/** A switch of the preset, back and forth. */
-export function createSwitch (offset: number, base: number): LogRecord {
+/** Creates a preset switch that alternates with the offset between two presets. */
+export function createPresetSwitch (offset: number, base: number): LogRecord {
   const name = offset % 2 === 0 ? PresetName.Peaks : PresetName.OrdinaryDays
   return createRecord(offset, base, [{ kind: ChangeKind.SwitchPreset, name }])
 }
 
-/** A change of one account, the most frequent kind. */
+/** Creates a change of one account, the most frequent kind of change. */
 export function createAccountChange (offset: number, base: number): LogRecord {
   const change = createAccount(offset % twoYearSize.accounts)
   return createRecord(offset, base, [change])
--- a/packages/foxtaillever-capacity/src/measures/timing.ts
+++ b/packages/foxtaillever-capacity/src/measures/timing.ts
@@ -1,11 +1,9 @@
-/**
- * Processor time of short pieces of work.
- */
+/** Measures the processor time of short operations. */
 
-/** Repeated until it has taken this long, milliseconds, after as much for warming up. */
-const SPAN_MS = 300
+/** Duration of the measurement, and of the warm-up before it, milliseconds. */
+const MEASURE_MS = 300
 
-function repeat (work: () => void, deadline: number): number {
+function repeatUntil (work: () => void, deadline: number): number {
   let runs = 0
   while (performance.now() < deadline) {
     work()
@@ -14,11 +12,11 @@
   return runs
 }
 
-/** Processor time of one run, microseconds. */
-export function microsecondsOf (work: () => void): number {
-  repeat(work, performance.now() + SPAN_MS)
+/** Measures the processor time of one run, microseconds. */
+export function measureMicroseconds (work: () => void): number {
+  repeatUntil(work, performance.now() + MEASURE_MS)
   const cpu = process.cpuUsage()
-  const runs = repeat(work, performance.now() + SPAN_MS)
+  const runs = repeatUntil(work, performance.now() + MEASURE_MS)
   const used = process.cpuUsage(cpu)
   return (used.user + used.system) / runs
 }
--- a/packages/foxtaillever-capacity/src/members/hostThread.ts
+++ b/packages/foxtaillever-capacity/src/members/hostThread.ts
@@ -1,18 +1,16 @@
-/**
- * Entry of a thread that hosts members.
- */
+/** Entry point of a thread that hosts members. */
 import { setFlagsFromString } from 'node:v8'
 import { runInNewContext } from 'node:vm'
 import { parentPort, workerData } from 'node:worker_threads'
 import { Right } from 'purify-ts'
 import { SystemClock, type ListedInstance } from 'foxtaillever-core'
 import { HostedMember, type HostParts } from './hostedMember.js'
-import { OrderKind, type MemberPlan, type Order, type OrderMessage, type OrderResult } from './orders.js'
+import { HostCommandKind, type MemberPlan, type HostCommand, type CommandMessage, type HostResult } from './hostCommands.js'
 import { Reachability } from './reachability.js'
 import { SharedLog } from './sharedLog.js'
 
-/** How finely the time of a death is seen, milliseconds. */
-const LOOK_MS = 20
+/** Resolution of the time at which a crashed member is removed, milliseconds. */
+const CHECK_INTERVAL_MS = 20
 
 setFlagsFromString('--expose-gc')
 const collectGarbage = runInNewContext('gc') as () => void
@@ -23,22 +21,22 @@
 const members = new Map<string, HostedMember>()
 let listed: readonly ListedInstance[] = []
 let seed = workerData as number
-let sharing: NodeJS.Timeout | undefined
+let sharingTimer: NodeJS.Timeout | undefined
 
-const parts: Omit<HostParts, 'seed'> = { clock, log, reachability, instances: { list: async () => Right(listed) } }
+const hostParts: Omit<HostParts, 'seed'> = { clock, log, reachability, instances: { list: async () => Right(listed) } }
 
-async function start (plans: readonly MemberPlan[]): Promise<OrderResult> {
+async function start (plans: readonly MemberPlan[]): Promise<HostResult> {
   const started = []
   for (const plan of plans) {
     seed += 1
-    const member = await HostedMember.create(plan, { ...parts, seed })
+    const member = await HostedMember.create(plan, { ...hostParts, seed })
     members.set(plan.name, member)
     started.push(member.started)
   }
   return { started }
 }
 
-async function restart (names: readonly string[], suffix: string): Promise<OrderResult> {
+async function restart (names: readonly string[], suffix: string): Promise<HostResult> {
   const plans: MemberPlan[] = []
   for (const name of names) {
     const member = members.get(name)
@@ -52,9 +50,9 @@
 }
 
 function share (facts: number, periodMs: number): void {
-  clearInterval(sharing)
+  clearInterval(sharingTimer)
   if (facts > 0) {
-    sharing = setInterval(() => members.forEach(member => member.share(facts)), periodMs)
+    sharingTimer = setInterval(() => members.forEach(member => member.shareFacts(facts)), periodMs)
   }
 }
 
@@ -70,7 +68,7 @@
   }
 }
 
-function sample (collect: boolean): OrderResult {
+function sample (collect: boolean): HostResult {
   if (collect) {
     collectGarbage()
   }
@@ -78,56 +76,56 @@
   return { sample: { members: [...members.values()].map(member => member.sample()), heapBytes } }
 }
 
-type Handlers = { [Kind in OrderKind]: (order: Extract<Order, { kind: Kind }>) => Promise<OrderResult> | OrderResult }
+type Handlers = { [Kind in HostCommandKind]: (command: Extract<HostCommand, { kind: Kind }>) => Promise<HostResult> | HostResult }
 
 const handlers: Handlers = {
-  [OrderKind.Start]: async ({ plans }) => await start(plans),
-  [OrderKind.List]: order => {
-    listed = order.listed
+  [HostCommandKind.Start]: async ({ plans }) => await start(plans),
+  [HostCommandKind.List]: command => {
+    listed = command.listed
     return {}
   },
-  [OrderKind.Append]: ({ record, only }) => {
+  [HostCommandKind.Append]: ({ record, only }) => {
     if (only === undefined) {
-      log.add(record)
+      log.addRecord(record)
     } else {
-      members.get(only)?.take(record)
+      members.get(only)?.applyRecord(record)
     }
     return {}
   },
-  [OrderKind.SetLog]: ({ down }) => {
+  [HostCommandKind.SetLog]: ({ down }) => {
     log.isDown = down
     return {}
   },
-  [OrderKind.Crash]: ({ names }) => {
+  [HostCommandKind.Crash]: ({ names }) => {
     crash(names)
     return {}
   },
-  [OrderKind.Restart]: async ({ names, suffix }) => await restart(names, suffix),
-  [OrderKind.Cut]: ({ groups }) => {
+  [HostCommandKind.Restart]: async ({ names, suffix }) => await restart(names, suffix),
+  [HostCommandKind.Cut]: ({ groups }) => {
     reachability.setGroups(groups)
     return {}
   },
-  [OrderKind.Share]: ({ facts, periodMs }) => {
+  [HostCommandKind.Share]: ({ facts, periodMs }) => {
     share(facts, periodMs)
     return {}
   },
-  [OrderKind.Watch]: ({ names }) => {
-    members.forEach(member => member.watch(names))
+  [HostCommandKind.Watch]: ({ names }) => {
+    members.forEach(member => member.watchMembers(names))
     return {}
   },
-  [OrderKind.Sample]: ({ collect }) => sample(collect),
-  [OrderKind.Stop]: async () => {
+  [HostCommandKind.Sample]: ({ collect }) => sample(collect),
+  [HostCommandKind.Stop]: async () => {
     share(0, 0)
-    clearInterval(looking)
+    clearInterval(checkTimer)
     await Promise.all([...members.values()].map(member => member.stop()))
     return {}
   }
 }
 
-const looking = setInterval(() => members.forEach(member => member.look()), LOOK_MS)
+const checkTimer = setInterval(() => members.forEach(member => member.checkWatchedMembers()), CHECK_INTERVAL_MS)
 
-parentPort!.on('message', async ({ number, order }: OrderMessage) => {
-  const handler = handlers[order.kind] as (order: Order) => Promise<OrderResult> | OrderResult
-  const result = await handler(order)
+parentPort!.on('message', async ({ number, command }: CommandMessage) => {
+  const handler = handlers[command.kind] as (command: HostCommand) => Promise<HostResult> | HostResult
+  const result = await handler(command)
   parentPort!.postMessage({ number, result })
 })
--- a/packages/foxtaillever-capacity/src/members/hostedMember.ts
+++ b/packages/foxtaillever-capacity/src/members/hostedMember.ts
@@ -1,21 +1,18 @@
-/**
- * One light member: a whole Fleet with its own socket and HTTP server, without
- * the router on top.
- */
+/** A member without a router: a complete Fleet with its own socket and HTTP server. */
 import { createHTTPServer } from '@trpc/server/adapters/standalone'
 import type { AddressInfo, Server } from 'node:net'
 import { SeededRandom, type Clock, type InstanceList, type LogRecord } from 'foxtaillever-core'
 import { hashText } from 'foxtaillever-core/hashPrompt'
 import { createPeerRouter, FactKind, Fleet, KeyRing, PEER_PATH, Permission, TrpcPeers, UdpDatagrams, type PeerSource } from 'foxtaillever-fleet'
-import type { MemberPlan, MemberSample, Started } from './orders.js'
+import type { MemberPlan, MemberSample, StartedMember } from './hostCommands.js'
 import type { Reachability } from './reachability.js'
 import type { SharedLog } from './sharedLog.js'
 
 /** Long enough that no snapshot falls into a measurement, milliseconds. */
 const RETENTION_MS = 86_400_000
 
-/** How long a shared fact holds, milliseconds. */
-const FACT_MS = 10_000
+/** How long a shared fact is valid, milliseconds. */
+const FACT_LIFETIME_MS = 10_000
 
 export interface HostParts {
   readonly clock: Clock
@@ -32,10 +29,10 @@
 
 export class HostedMember {
   private revisionAt = 0
-  private watched: readonly string[] = []
-  private goneAt = 0
+  private watchedNames: readonly string[] = []
+  private watchedGoneAt = 0
 
-  private constructor (private readonly fleet: Fleet, private readonly server: Server, private readonly peers: TrpcPeers, readonly started: Started, private readonly clock: Clock) {
+  private constructor (private readonly fleet: Fleet, private readonly server: Server, private readonly peers: TrpcPeers, readonly started: StartedMember, private readonly clock: Clock) {
     fleet.store.onChange(() => { this.revisionAt = clock.now() })
   }
 
@@ -47,7 +44,7 @@
     const address = await datagrams.bind()
     const peers = TrpcPeers.create(plan.name, keys, clock, random)
     const source: PeerSource = { configuration: () => fleet.configuration(), changesSince: revision => fleet.changesSince(revision), memberEntries: () => fleet.memberEntries() }
-    const { server } = createHTTPServerOf(createPeerRouter(source, keys, clock))
+    const { server } = createPeerServer(createPeerRouter(source, keys, clock))
     const controlAddress = await listen(server)
     const started = { ...plan, address, controlAddress }
     const fleet = Fleet.create({
@@ -66,29 +63,29 @@
     return new HostedMember(fleet, server, peers, started, clock)
   }
 
-  take (record: LogRecord): void {
+  applyRecord (record: LogRecord): void {
     this.fleet.store.take(record)
   }
 
-  share (count: number): void {
+  shareFacts (count: number): void {
     for (let index = 0; index < count; index += 1) {
-      this.fleet.share(FactKind.AccountDemand, `account-${index}`, [1234, 56], this.clock.now() + FACT_MS)
+      this.fleet.share(FactKind.AccountDemand, `account-${index}`, [1234, 56], this.clock.now() + FACT_LIFETIME_MS)
     }
   }
 
-  watch (names: readonly string[]): void {
-    this.watched = names
-    this.goneAt = 0
+  watchMembers (names: readonly string[]): void {
+    this.watchedNames = names
+    this.watchedGoneAt = 0
   }
 
-  /** Looks whether the watched names are gone. */
-  look (): void {
-    if (this.watched.length === 0 || this.goneAt > 0) {
+  /** Records the time when none of the watched names is a member any more. */
+  checkWatchedMembers (): void {
+    if (this.watchedNames.length === 0 || this.watchedGoneAt > 0) {
       return
     }
     const names = new Set(this.fleet.members().map(member => member.name))
-    if (this.watched.every(name => !names.has(name))) {
-      this.goneAt = this.clock.now()
+    if (this.watchedNames.every(name => !names.has(name))) {
+      this.watchedGoneAt = this.clock.now()
     }
   }
 
@@ -105,7 +102,7 @@
       members: members.length,
       revision: this.fleet.store.configuration().revision,
       revisionAt: this.revisionAt,
-      goneAt: this.goneAt,
+      goneAt: this.watchedGoneAt,
       facts,
       pulled: configurationsPulled,
       synced: tablesFetched
@@ -118,6 +115,6 @@
   }
 }
 
-function createHTTPServerOf (router: ReturnType<typeof createPeerRouter>): { readonly server: Server } {
+function createPeerServer (router: ReturnType<typeof createPeerRouter>): { readonly server: Server } {
   return { server: createHTTPServer({ router, basePath: `${PEER_PATH}/` }) as Server }
 }
--- a/packages/foxtaillever-capacity/src/members/reachability.ts
+++ b/packages/foxtaillever-capacity/src/members/reachability.ts
@@ -1,6 +1,4 @@
-/**
- * Which addresses reach each other, for the members of one thread.
- */
+/** Decides which addresses can reach each other, for the members of one thread. */
 import { Left } from 'purify-ts'
 import { Failure, FailureCode } from 'foxtaillever-core'
 import type { Datagrams, Peers } from 'foxtaillever-fleet'
@@ -23,11 +21,11 @@
     this.crashed.add(address)
   }
 
-  isOpen (from: string, to: string): boolean {
+  isReachable (from: string, to: string): boolean {
     return !this.crashed.has(from) && (this.groups[from] ?? 0) === (this.groups[to] ?? 0)
   }
 
-  /** Datagrams that lose what cannot pass. */
+  /** Wraps datagrams so that those to unreachable addresses are lost. */
   limitDatagrams (address: string, datagrams: Datagrams): Datagrams {
     return {
       open: async listener => await datagrams.open(bytes => {
@@ -36,7 +34,7 @@
         }
       }),
       send: (to, bytes) => {
-        if (this.isOpen(address, to)) {
+        if (this.isReachable(address, to)) {
           datagrams.send(to, bytes)
         }
       },
@@ -47,9 +45,9 @@
   limitPeers (address: string, peers: Peers): Peers {
     const refused = Left(Failure.notRun(FailureCode.ConnectionRefused, 'Cut off.'))
     return {
-      configuration: async to => this.isOpen(address, to) ? await peers.configuration(to) : refused,
-      changes: async (to, revision) => this.isOpen(address, to) && peers.changes ? await peers.changes(to, revision) : refused,
-      members: async to => this.isOpen(address, to) ? await peers.members(to) : refused
+      configuration: async to => this.isReachable(address, to) ? await peers.configuration(to) : refused,
+      changes: async (to, revision) => this.isReachable(address, to) && peers.changes ? await peers.changes(to, revision) : refused,
+      members: async to => this.isReachable(address, to) ? await peers.members(to) : refused
     }
   }
 }
--- a/packages/foxtaillever-capacity/src/members/sharedLog.ts
+++ b/packages/foxtaillever-capacity/src/members/sharedLog.ts
@@ -1,13 +1,11 @@
-/**
- * The log as the members of one thread see it; the measuring thread appends.
- */
+/** Log that the members of one thread read; the measuring thread appends to it. */
 import { Left, Right, type Either } from 'purify-ts'
 import { Failure, FailureCode, waitUntil, type Clock, type Log, type LogPage, type LogRecord } from 'foxtaillever-core'
 
 export class SharedLog implements Log {
   isDown = false
   private readonly records: LogRecord[] = []
-  private readonly waiters = new Set<() => void>()
+  private readonly waitingReaders = new Set<() => void>()
 
   private constructor (private readonly clock: Clock) {}
 
@@ -15,10 +13,10 @@
     return new SharedLog(clock)
   }
 
-  add (record: LogRecord): void {
+  addRecord (record: LogRecord): void {
     this.records.push(record)
-    this.waiters.forEach(wake => wake())
-    this.waiters.clear()
+    this.waitingReaders.forEach(wake => wake())
+    this.waitingReaders.clear()
   }
 
   async append (): Promise<Either<Failure, number>> {
@@ -30,7 +28,7 @@
       return Left(Failure.notRun(FailureCode.LogUnavailable, 'The log is down.'))
     }
     if (from > this.records.length) {
-      await Promise.race([waitUntil(this.clock, deadline), new Promise<void>(resolve => this.waiters.add(resolve))])
+      await Promise.race([waitUntil(this.clock, deadline), new Promise<void>(resolve => this.waitingReaders.add(resolve))])
     }
     if (this.isDown) {
       return Left(Failure.notRun(FailureCode.LogUnavailable, 'The log is down.'))
--- a/packages/foxtaillever-capacity/src/report/slope.ts
+++ b/packages/foxtaillever-capacity/src/report/fitLine.ts
@@ -1,17 +1,15 @@
-/**
- * A straight line through measured points, by least squares.
- */
-export interface Point {
+/** Fits a straight line to measured points by least squares. */
+export interface MeasuredPoint {
   readonly size: number
   readonly value: number
 }
 
-export interface Slope {
+export interface Line {
   readonly base: number
   readonly perUnit: number
 }
 
-export function slopeOf (points: readonly Point[]): Slope {
+export function fitLine (points: readonly MeasuredPoint[]): Line {
   const count = points.length
   const meanSize = points.reduce((sum, { size }) => sum + size, 0) / count
   const meanValue = points.reduce((sum, { value }) => sum + value, 0) / count
@@ -21,6 +19,6 @@
   return { base: meanValue - perUnit * meanSize, perUnit }
 }
 
-export function valueAt ({ base, perUnit }: Slope, size: number): number {
+export function evaluateLine ({ base, perUnit }: Line, size: number): number {
   return base + perUnit * size
 }
--- a/packages/foxtaillever-capacity/src/report/table.ts
+++ b/packages/foxtaillever-capacity/src/report/table.ts
@@ -1,10 +1,8 @@
-/**
- * Tables in Markdown, so that what is printed can stand in a page as it is.
- */
+/** Formats tables in Markdown, so that they can be copied into a page unchanged. */
 export type Row = readonly (string | number)[]
 
-/** Numbers with three significant digits; text as it is. */
-export function showValue (value: string | number): string {
+/** Formats integers and numbers from 100 as integers, other numbers with three significant digits; text stays as it is. */
+export function formatValue (value: string | number): string {
   if (typeof value === 'string') {
     return value
   }
@@ -14,8 +12,8 @@
   return value.toPrecision(3)
 }
 
-export function createTable (title: string, heads: Row, rows: readonly Row[]): string {
-  const line = (row: Row): string => `| ${row.map(showValue).join(' | ')} |`
-  const rule = `| ${heads.map((_, index) => index === 0 ? '---' : '---:').join(' | ')} |`
-  return [`### ${title}`, '', line(heads), rule, ...rows.map(line), ''].join('\n')
+export function createTable (title: string, headers: Row, rows: readonly Row[]): string {
+  const line = (row: Row): string => `| ${row.map(formatValue).join(' | ')} |`
+  const delimiter = `| ${headers.map((_, index) => index === 0 ? '---' : '---:').join(' | ')} |`
+  return [`### ${title}`, '', line(headers), delimiter, ...rows.map(line), ''].join('\n')
 }
--- a/packages/foxtaillever-capacity/src/sizes.ts
+++ b/packages/foxtaillever-capacity/src/sizes.ts
@@ -1,6 +1,4 @@
-/**
- * The size to design for, as the users gave it, and the limits on control.
- */
+/** The size to design for, as the users stated it, and the limits on the cost of control work. */
 export const twoYearSize = {
   daemons: 380,
   workers: 670,
@@ -15,14 +13,14 @@
   herd: 60
 } as const
 
-/** What control may cost one daemon. */
+/** Limits on what control work may cost one daemon. */
 export const limits = {
   corePercent: 1.1,
   memoryMegabytes: 32,
   bytesPerSecond: 14_000
 } as const
 
-/** What operators are promised for a change, milliseconds. */
+/** Time in which operators are promised a change to be in force everywhere, milliseconds. */
 export const IN_FORCE_MS = 8000
 
 export const SECONDS_PER_DAY = 86_400
