--- a/packages/foxtaillever-policy/src/bench/engineFleet.ts
+++ b/packages/foxtaillever-policy/src/bench/engineFleet.ts
@@ -28,7 +28,7 @@
 }
 
 interface Engine {
-  readonly offer: ServerCandidate
+  readonly candidate: ServerCandidate
   readonly queue: Request[]
   readonly running: Request[]
   /** Cached levels, the least recently used first. */
@@ -66,7 +66,7 @@
   private constructor (private readonly shape: FleetShape) {
     const { instances, engines, seed } = shape
     this.random = SeededRandom.create(seed)
-    this.engines = Array.from({ length: engines }, (_, index) => ({ offer: createOffer(index), queue: [], running: [], cachedLevels: new Map(), startedCount: 0 }))
+    this.engines = Array.from({ length: engines }, (_, index) => ({ candidate: createCandidate(index), queue: [], running: [], cachedLevels: new Map(), startedCount: 0 }))
     this.queriedLoads = Array.from({ length: instances }, () => new Map())
     this.heartbeatLoads = Array.from({ length: instances }, () => new Map())
   }
@@ -132,8 +132,8 @@
   private offerOf (engine: number, instance: number): ServerCandidate {
     const own = this.loadOf(engine, request => request.instance === instance)
     const others = this.othersLoad(engine, instance)
-    const { offer } = this.engines[engine] as Engine
-    return { ...offer, outstanding: own.outstanding + others.outstanding, waitingTokens: own.tokens + others.tokens, heldTokens: own.heldTokens + others.heldTokens }
+    const { candidate } = this.engines[engine] as Engine
+    return { ...candidate, outstanding: own.outstanding + others.outstanding, waitingTokens: own.tokens + others.tokens, heldTokens: own.heldTokens + others.heldTokens }
   }
 
   private othersLoad (engine: number, instance: number): ServerLoad {
@@ -212,8 +212,8 @@
     return queue.findIndex(request => isReady(request) && rank(request) === first)
   }
 
-  private hasRoom ({ running, offer }: Engine, { own, shared }: Request): boolean {
-    return running.length < offer.slots && sumHeldTokens(running) + own + shared <= MEMORY_TOKENS
+  private hasRoom ({ running, candidate }: Engine, { own, shared }: Request): boolean {
+    return running.length < candidate.slots && sumHeldTokens(running) + own + shared <= MEMORY_TOKENS
   }
 
   private computeOutcome (): FleetOutcome {
@@ -232,7 +232,7 @@
   }
 }
 
-function createOffer (index: number): ServerCandidate {
+function createCandidate (index: number): ServerCandidate {
   return {
     id: String(index),
     hash: mixHashes(index + 1, 77),
--- a/packages/foxtaillever-policy/src/relay/__tests__/largeFleet.test.ts
+++ b/packages/foxtaillever-policy/src/relay/__tests__/largeFleet.test.ts
@@ -18,7 +18,7 @@
 
 describe('a large fleet', () => {
   for (const seed of [1, 2, 3]) {
-    // An instance uses each engine every few seconds and learns of the others' load after it has ended. It passes by idle
+    // An instance uses each engine every few seconds and learns of the others' load after it has ended. It skips idle
     // homes for busy engines, and callers wait behind each other.
     it(`lets callers wait less when instances query the load before they choose, seed ${seed}`, t => {
       const beats = simulate(LoadKnowledge.Heartbeats, seed, WIDE_LINK)
--- a/packages/foxtaillever-policy/src/relay/placeExchange.ts
+++ b/packages/foxtaillever-policy/src/relay/placeExchange.ts
@@ -138,22 +138,22 @@
 }
 
 /** Time until the first token of a request with a prompt, milliseconds, plus a cost where it is likely to be late. */
-function promptCostMs (offer: ServerCandidate, need: PlacementNeed, isHome: boolean): number {
-  const { outstanding, waitingTokens, missingTokens } = offer
-  const expected = (waitingTokens + missingTokens) / need.pace.tokensPerMs + outstanding * REQUEST_COST_MS + memoryWaitMs(offer, need) + (isHome ? 0 : awayFromHomeCostMs(offer, need))
+function promptCostMs (candidate: ServerCandidate, need: PlacementNeed, isHome: boolean): number {
+  const { outstanding, waitingTokens, missingTokens } = candidate
+  const expected = (waitingTokens + missingTokens) / need.pace.tokensPerMs + outstanding * REQUEST_COST_MS + memoryWaitMs(candidate, need) + (isHome ? 0 : awayFromHomeCostMs(candidate, need))
   return expected + LATE_COST_FACTOR * Math.max(0, expected - SAFE_SHARE * need.objectiveMs)
 }
 
 /** Expected cost of a candidate, in milliseconds until the first token. */
-function costOf (offer: ServerCandidate, need: PlacementNeed, isHome: boolean): number {
-  return (need.promptKey === undefined ? plainCostMs(offer, need) : promptCostMs(offer, need, isHome)) +
-    (offer.failureDomain === need.failureDomain ? 0 : REMOTE_DOMAIN_COST_MS) +
-    offer.faultCostMs +
-    (offer.isRefusing ? REFUSING_COST_MS : 0) +
-    (offer.isUnreachable ? UNREACHABLE_COST_MS : 0) +
-    (offer.isChanging ? CHANGING_COST_MS : 0) +
-    (offer.isOutdated ? OUTDATED_COST_SHARE * need.objectiveMs : 0) +
-    Math.min(offer.coldLeftMs, MAX_COLD_COST_MS)
+function costOf (candidate: ServerCandidate, need: PlacementNeed, isHome: boolean): number {
+  return (need.promptKey === undefined ? plainCostMs(candidate, need) : promptCostMs(candidate, need, isHome)) +
+    (candidate.failureDomain === need.failureDomain ? 0 : REMOTE_DOMAIN_COST_MS) +
+    candidate.faultCostMs +
+    (candidate.isRefusing ? REFUSING_COST_MS : 0) +
+    (candidate.isUnreachable ? UNREACHABLE_COST_MS : 0) +
+    (candidate.isChanging ? CHANGING_COST_MS : 0) +
+    (candidate.isOutdated ? OUTDATED_COST_SHARE * need.objectiveMs : 0) +
+    Math.min(candidate.coldLeftMs, MAX_COLD_COST_MS)
 }
 
 /** The home among reachable servers, if any: while the actual home is unreachable, all instances agree on the same replacement. */
@@ -163,17 +163,17 @@
 }
 
 /** All candidates, the cheapest first; equal ones in random order, so that instances do not all choose the same server. */
-export function rankCandidates (offers: readonly ServerCandidate[], need: PlacementNeed, random: Random): readonly ServerCandidate[] {
+export function rankCandidates (candidates: readonly ServerCandidate[], need: PlacementNeed, random: Random): readonly ServerCandidate[] {
   const { promptKey, homeDomains } = need
-  const homeHash = need.homeHash ?? (promptKey === undefined ? undefined : presentHome(promptKey, homeDomains, offers)?.hash)
-  return offers
+  const homeHash = need.homeHash ?? (promptKey === undefined ? undefined : presentHome(promptKey, homeDomains, candidates)?.hash)
+  return candidates
     // Differences below a millisecond are not significant.
-    .map(offer => ({ offer, cost: costOf(offer, need, offer.hash === homeHash) + random.next() }))
+    .map(candidate => ({ candidate, cost: costOf(candidate, need, candidate.hash === homeHash) + random.next() }))
     .sort((a, b) => a.cost - b.cost)
-    .map(({ offer }) => offer)
+    .map(({ candidate }) => candidate)
 }
 
 /** Chooses the cheapest server. */
-export function placeExchange (offers: readonly ServerCandidate[], need: PlacementNeed, random: Random): ServerCandidate | undefined {
-  return rankCandidates(offers, need, random)[0]
+export function placeExchange (candidates: readonly ServerCandidate[], need: PlacementNeed, random: Random): ServerCandidate | undefined {
+  return rankCandidates(candidates, need, random)[0]
 }
