--- a/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
+++ b/packages/foxtaillever-relay/src/__fixtures__/relayRig.ts
@@ -128,7 +128,7 @@
       onSaved: () => {},
       onUnreachable: ({ listed }) => { this.unreachable.push(listed.id) },
       queryLoad: () => undefined,
-      place: (_, { failed }) => this.directory.ready('s').find(server => !failed.has(server.listed.id) && availableFrom(server) <= clock.now()),
+      selectServer: (_, { failed }) => this.directory.ready('s').find(server => !failed.has(server.listed.id) && availableFrom(server) <= clock.now()),
       earliestRetryAt: service => retrySchedules.nextRetryAt(service),
       onMisdirected: () => {}
     }
--- a/packages/foxtaillever-relay/src/bench/controlCost.ts
+++ b/packages/foxtaillever-relay/src/bench/controlCost.ts
@@ -11,7 +11,7 @@
 import { FleetLoad } from '../peers/fleetLoad.js'
 import { encodeLoadMessage, readLoadMessage } from '../peers/loadMessage.js'
 import { LoadProtocol } from '../peers/loadProtocol.js'
-import { encodePeerMessage, readPeerMessage, type PeerMessage, type ServerUse } from '../peers/peerMessage.js'
+import { encodePeerMessage, readPeerMessage, type PeerMessage, type ServerLoadEntry } from '../peers/peerMessage.js'
 import { PeerTable } from '../peers/peerTable.js'
 import { LimitOwners } from '../limits/limitOwners.js'
 import { encodeLimitMessage, readLimitMessage } from '../limits/limitMessage.js'
@@ -53,11 +53,11 @@
   return run()
 }
 
-function createUse (server: number, outstanding: number): ServerUse {
+function createLoad (server: number, outstanding: number): ServerLoadEntry {
   return { server, outstanding, tokens: 2890, heldTokens: 9200 }
 }
 
-function heartbeatOf (address: string, sums: readonly ServerUse[]): PeerMessage {
+function heartbeatOf (address: string, sums: readonly ServerLoadEntry[]): PeerMessage {
   return {
     name: address,
     address,
@@ -68,7 +68,7 @@
     revision: 57,
     positions: { operators: 1, servers: 1 },
     lease: { offset: 1, holder: 'a', ageMs: 1 },
-    uses: [],
+    loads: [],
     sums,
     suspects: [],
     savedLevels: [1, 2, 3, 4],
@@ -83,11 +83,11 @@
 
 function createProtocol (watchers: ComputedWatchers, address: string): LoadProtocol {
   return LoadProtocol.create({
-    clock, address, use: FleetLoad.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), own: () => [], isQueried: () => true, onSaved: () => {}, onUnreachable: () => {}, onBackingOff: () => {}, onUnresponsive: () => {}
+    clock, address, fleetLoad: FleetLoad.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), ownLoads: () => [], isQueried: () => true, onSaved: () => {}, onUnreachable: () => {}, onBackingOff: () => {}, onUnresponsive: () => {}
   })
 }
 
-function createOffers (servers: readonly number[]): ServerCandidate[] {
+function createCandidates (servers: readonly number[]): ServerCandidate[] {
   return servers.map((hash, index) => ({
     id: `server-${index}`,
     hash,
@@ -140,7 +140,7 @@
     const watchers = ComputedWatchers.create()
     watchers.setMembers([address, other, ...others])
     const protocol = createProtocol(watchers, address)
-    const report = encodeLoadMessage({ kind: 11, address: other, loads: [createUse(server, 1)], unreachable: [], saved: [], backingOff: [] })
+    const report = encodeLoadMessage({ kind: 11, address: other, loads: [createLoad(server, 1)], unreachable: [], saved: [], backingOff: [] })
     const query = encodeLoadMessage({ kind: 12, address: other, number: 1, servers: [server], levels: [7] })
     return () => [report, query].forEach(bytes => unpackDatagram(bytes).chain(readLoadMessage).ifJust(message => protocol.handleMessage(message)))
   },
@@ -149,7 +149,7 @@
     watchers.setMembers([address, ...others])
     let outstanding = 0
     const protocol = LoadProtocol.create({
-      clock, address, use: FleetLoad.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), own: () => servers.slice(0, IN_FLIGHT).map(server => createUse(server, 1 + outstanding % 2)), isQueried: () => true, onSaved: () => {}, onUnreachable: () => {}, onBackingOff: () => {}, onUnresponsive: () => {}
+      clock, address, fleetLoad: FleetLoad.create(clock), send: (_, message) => { encodeLoadMessage(message) }, watchersOf: server => watchers.of(server), ownLoads: () => servers.slice(0, IN_FLIGHT).map(server => createLoad(server, 1 + outstanding % 2)), isQueried: () => true, onSaved: () => {}, onUnreachable: () => {}, onBackingOff: () => {}, onUnresponsive: () => {}
     })
     return () => {
       outstanding += 1
@@ -176,9 +176,9 @@
     return () => { protocols[1]?.claim({ key: `account-${turn++ % ACCOUNTS}`, limit: { perSecond: 1e9, burst: 1e9, revision: 1 }, cost: 9190 }, () => {}) }
   },
   placement: ({ servers }) => {
-    const offers = createOffers(servers)
+    const candidates = createCandidates(servers)
     const random = SeededRandom.create(1)
-    return () => { rankCandidates(offers, need, random) }
+    return () => { rankCandidates(candidates, need, random) }
   }
 }
 
--- a/packages/foxtaillever-relay/src/cache/cacheStoreTracker.ts
+++ b/packages/foxtaillever-relay/src/cache/cacheStoreTracker.ts
@@ -3,7 +3,7 @@
 import { SavedLevels } from 'foxtaillever-policy/relay/savedLevels'
 import { StoreReachability, type StoreReport } from 'foxtaillever-policy/relay/storeReachability'
 import type { CacheStore } from '../model/routing.js'
-import type { ServerUse } from '../peers/peerMessage.js'
+import type { ServerLoadEntry } from '../peers/peerMessage.js'
 import type { RelayLog } from '../telemetry/relayLog.js'
 import { FetchLoad } from './fetchLoad.js'
 import { StoreMonitor, type CacheStoreCalls } from './storeMonitor.js'
@@ -65,7 +65,7 @@
   }
 
   /** The load of this instance on the links of the stores. */
-  fetchLoads (): ServerUse[] {
+  fetchLoads (): ServerLoadEntry[] {
     return this.fetchLoad.ownLoads(this.options.clock.now())
   }
 
--- a/packages/foxtaillever-relay/src/cache/fetchLoad.ts
+++ b/packages/foxtaillever-relay/src/cache/fetchLoad.ts
@@ -6,7 +6,7 @@
  * that needs it.
  */
 import { hashNumber } from 'foxtaillever-core'
-import type { ServerUse } from '../peers/peerMessage.js'
+import type { ServerLoadEntry } from '../peers/peerMessage.js'
 
 export interface Transfer {
   /** Address of the store. */
@@ -28,7 +28,7 @@
   }
 
   /** The load of this instance on each store, as reported to the other instances. */
-  ownLoads (now: number): ServerUse[] {
+  ownLoads (now: number): ServerLoadEntry[] {
     this.expire(now)
     const sums = new Map<string, number>()
     this.transfers.forEach(({ store, tokens }) => sums.set(store, (sums.get(store) ?? 0) + tokens))
--- a/packages/foxtaillever-relay/src/exchange/attemptPlacement.ts
+++ b/packages/foxtaillever-relay/src/exchange/attemptPlacement.ts
@@ -11,7 +11,7 @@
 import type { QueriedServers } from '../servers/serverSelector.js'
 import type { AttemptLedger } from './attemptLedger.js'
 import type { ExchangeContext } from './exchangeContext.js'
-import { runAfter } from './runAfter.js'
+import { callWhenDone } from './callWhenDone.js'
 
 export interface AttemptPlacementOptions {
   readonly context: ExchangeContext
@@ -36,9 +36,9 @@
 
   placeNext (): void {
     const { context, exchange, ledger, isOver } = this.options
-    runAfter(context.queryLoad(exchange, ledger), queriedServers => {
+    callWhenDone(context.queryLoad(exchange, ledger), queriedServers => {
       if (!isOver()) {
-        this.place(queriedServers)
+        this.selectServer(queriedServers)
       }
     })
   }
@@ -52,9 +52,9 @@
     }
   }
 
-  private place (queriedServers: QueriedServers | undefined): void {
+  private selectServer (queriedServers: QueriedServers | undefined): void {
     const { context, exchange, ledger } = this.options
-    const server = context.place(exchange, ledger, queriedServers)
+    const server = context.selectServer(exchange, ledger, queriedServers)
     if (server) {
       context.limits.admit(server, exchange, admission => this.onAdmission(server, admission, queriedServers))
       return
@@ -73,7 +73,7 @@
     if (isOver()) {
       this.releaseLimit()
     } else if (admission === LimitAdmission.Refused) {
-      this.place(queriedServers)
+      this.selectServer(queriedServers)
     } else if (ledger.arrivals > 0 && !context.retries.tryRetry(exchange.service, context.clock.now())) {
       this.releaseLimit()
       this.fail(FailureCode.Overloaded, 'The retry budget is used up.')
--- a/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeContext.ts
@@ -16,8 +16,8 @@
 import type { CrashSuspects } from './crashSuspects.js'
 import type { InFlightAttempt } from './inFlightAttempt.js'
 
-/** What a run asks and tells about requests that crash servers. */
-export type Suspicions = Pick<CrashSuspects, 'isRefused' | 'refusedUntil' | 'wasLostRepeatedly' | 'recordLoss' | 'clearSuspicion'>
+/** The part of `CrashSuspects` that a run uses. */
+export type SuspectRegistry = Pick<CrashSuspects, 'isRefused' | 'refusedUntil' | 'wasLostRepeatedly' | 'recordLoss' | 'clearSuspicion'>
 
 export interface ExchangeContext {
   readonly clock: Clock
@@ -28,7 +28,7 @@
   readonly directory: ServerDirectory
   readonly retries: RetryShare
   readonly caches: Pick<CacheStoreTracker, 'savedLevels' | 'fetchLoad' | 'available'>
-  readonly suspects: Suspicions
+  readonly suspects: SuspectRegistry
   readonly quota: Pick<AccountQuotas, 'admit' | 'refund'>
   readonly limits: Pick<ServerLimits, 'admit' | 'refund'>
   readonly log: RelayLog
@@ -44,8 +44,8 @@
   readonly onUnreachable: (server: KnownServer) => void
   /** Queries the load that other instances put on the candidate servers, and resolves to the servers it queried; undefined where the load is known. Never rejects. */
   readonly queryLoad: (exchange: Exchange, earlier: EarlierAttempts) => Promise<QueriedServers> | undefined
-  /** Chooses the server for the next attempt among those that have not failed it; undefined when there is none. */
-  readonly place: (exchange: Exchange, earlier: EarlierAttempts, queriedServers: QueriedServers | undefined) => KnownServer | undefined
+  /** Selects the server for the next attempt among those at which no attempt failed; undefined when there is none. */
+  readonly selectServer: (exchange: Exchange, earlier: EarlierAttempts, queriedServers: QueriedServers | undefined) => KnownServer | undefined
   /** When a caller may retry while no server of the service takes requests, milliseconds of Unix time; undefined where no server stated it. */
   readonly earliestRetryAt: (service: string) => number | undefined
   /** A server has another id or other weights than expected; the failure may name its id. */
--- a/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeDispatcher.ts
@@ -101,7 +101,7 @@
       onUnreachable,
       queryLoad: (exchange, earlier) => exchange.prompt && queryLoad(() => ({ servers: selector.shortlist(exchange, earlier), level: this.levelAtHome(exchange, selector.homeServerOf(exchange)) })),
       earliestRetryAt: service => retrySchedules.nextRetryAt(service),
-      place: (exchange, earlier, queriedServers) => selector.selectServer(exchange, earlier, queriedServers),
+      selectServer: (exchange, earlier, queriedServers) => selector.selectServer(exchange, earlier, queriedServers),
       onMisdirected
     })
   }
@@ -134,11 +134,11 @@
   recordUnreachable (hash: number): void {
     const server = this.directory.getByHash(hash)
     const now = this.clock.now()
-    if (server && server.absentUntil <= now) {
+    if (server && server.unreachableUntil <= now) {
       this.log.belief('Other instances could not reach a backend server; it is passed over for a moment.', { server: server.listed.id })
     }
     if (server) {
-      this.directory.observations.recordAbsent(server, now)
+      this.directory.observations.recordUnreachable(server, now)
     }
   }
 }
--- a/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
+++ b/packages/foxtaillever-relay/src/exchange/exchangeRun.ts
@@ -21,7 +21,7 @@
 import { planAttempt } from './planAttempt.js'
 import { recordAnswerHead } from './recordAnswerHead.js'
 import { recordAttemptFailure } from './recordAttemptFailure.js'
-import { refusalOf } from './refusalOf.js'
+import { findRefusal } from './findRefusal.js'
 import { shouldAbandon } from './shouldAbandon.js'
 import { StreamPace } from './streamPace.js'
 import { watchAttempt } from './watchAttempt.js'
@@ -84,7 +84,7 @@
     answer.listen({ onGone: () => this.onGone(), onDrained: () => this.current?.attempt.resume() })
     this.cancelDeadline = atAfterReading(clock, exchange.deadline + DEADLINE_GRACE_MS, () => this.onDeadline())
     retries.addRequest(exchange.service, this.now)
-    const refusal = refusalOf(exchange, suspects, this.now)
+    const refusal = findRefusal(exchange, suspects, this.now)
     if (refusal) {
       this.fail(refusal.code, refusal.message, refusal.retryAt)
       return
--- a/packages/foxtaillever-relay/src/exchange/findRefusal.ts
+++ b/packages/foxtaillever-relay/src/exchange/findRefusal.ts
@@ -2,9 +2,9 @@
 import { Failure, FailureCode } from 'foxtaillever-core'
 import { earliestRetryTime } from 'foxtaillever-policy/relay/earliestRetryTime'
 import type { Exchange } from '../model/exchange.js'
-import type { Suspicions } from './exchangeContext.js'
+import type { SuspectRegistry } from './exchangeContext.js'
 
-export function refusalOf (exchange: Exchange, suspects: Pick<Suspicions, 'isRefused' | 'refusedUntil'>, now: number): Failure | undefined {
+export function findRefusal (exchange: Exchange, suspects: Pick<SuspectRegistry, 'isRefused' | 'refusedUntil'>, now: number): Failure | undefined {
   if (exchange.deadline <= now) {
     return Failure.notRun(FailureCode.DeadlinePassed, 'The deadline passed before the request was read completely.', earliestRetryTime(FailureCode.DeadlinePassed, now))
   }
--- a/packages/foxtaillever-relay/src/exchange/recordAttemptFailure.ts
+++ b/packages/foxtaillever-relay/src/exchange/recordAttemptFailure.ts
@@ -5,15 +5,15 @@
 import type { ExchangeContext } from './exchangeContext.js'
 
 export function recordAttemptFailure ({ clock, log, directory, suspects, onUnreachable }: ExchangeContext, exchange: Exchange, server: KnownServer | undefined, failure: AttemptFailure): void {
-  const { verdict, isServerFault: isServersFault } = meaningOf[failure.kind]
+  const { verdict, isServerFault } = meaningOf[failure.kind]
   const now = clock.now()
   const id = server?.listed.id ?? ''
   log.attemptFailed(exchange, id, failure, verdict)
-  if (server && isServersFault) {
+  if (server && isServerFault) {
     directory.observations.recordFault(server, now)
   }
   if (server && failure.kind === AttemptFailureKind.Unreachable) {
-    directory.observations.recordAbsent(server, now)
+    directory.observations.recordUnreachable(server, now)
     onUnreachable(server)
   }
   if (server && failure.kind === AttemptFailureKind.Misdirected && failure.serverId !== undefined && failure.serverId !== id) {
--- a/packages/foxtaillever-relay/src/knowledge/storeReplica.ts
+++ b/packages/foxtaillever-relay/src/knowledge/storeReplica.ts
@@ -115,15 +115,15 @@
   }
 
   /** Handles the notice of another instance that has read the store. */
-  handleNotice ({ address, isFresh, isWatching, positions, newRecords: update }: ReadNotice): void {
+  handleNotice ({ address, isFresh, isWatching, positions, newRecords }: ReadNotice): void {
     const now = this.options.clock.now()
     this.freshness.recordWatch(address, isWatching, now)
     if (isFresh) {
       // First, because whether a removal is deferred depends on when the store recovered.
       this.freshness.recordStoreAnswer(now, this.servers.follower.isFailing)
     }
-    if (update) {
-      this.applyUpdate(update.topic, { ...update, position: positions[update.topic].position, keys: undefined })
+    if (newRecords) {
+      this.applyUpdate(newRecords.topic, { ...newRecords, position: positions[newRecords.topic].position, keys: undefined })
     }
     this.advanceEra(Math.max(...topics.map(topic => eraOf(positions[topic].position))))
     topics.forEach(topic => this.handlePeerPosition(topic, positions[topic], address, isFresh ? now : -Infinity))
--- a/packages/foxtaillever-relay/src/limits/accountQuotas.ts
+++ b/packages/foxtaillever-relay/src/limits/accountQuotas.ts
@@ -56,7 +56,7 @@
         return
       }
       log.quotaRefused(exchange, result, cost, claimedAt, clock.now())
-      onDecided(this.refusalOf(result))
+      onDecided(this.createRefusal(result))
     })
   }
 
@@ -68,7 +68,7 @@
     }
   }
 
-  private refusalOf ({ outcome, retryAt }: LimitResult): Failure {
+  private createRefusal ({ outcome, retryAt }: LimitResult): Failure {
     return outcome === LimitOutcome.Refused
       ? Failure.notRun(FailureCode.AccountOverLimit, 'The client account is over its quota.', retryAt)
       : Failure.notRun(FailureCode.QuotaUnknown, 'No instance that decides on the quota of the client account answers.', earliestRetryTime(FailureCode.QuotaUnknown, this.options.clock.now()))
--- a/packages/foxtaillever-relay/src/limits/limitMessage.ts
+++ b/packages/foxtaillever-relay/src/limits/limitMessage.ts
@@ -13,7 +13,7 @@
 
 /** A claim on a key's limit, sent to an instance that decides on the key. */
 export interface LimitRequest {
-  readonly kind: DatagramKind.LimitQuestion
+  readonly kind: DatagramKind.LimitRequest
   readonly scope: LimitScope
   /** Of the sender, as in all messages here. */
   readonly address: string
@@ -27,7 +27,7 @@
 }
 
 export interface LimitResponse {
-  readonly kind: DatagramKind.LimitAnswer
+  readonly kind: DatagramKind.LimitResponse
   readonly scope: LimitScope
   readonly address: string
   readonly number: number
@@ -45,7 +45,7 @@
 
 /** Returns the cost of a request that was counted but did not run. */
 export interface LimitRefund {
-  readonly kind: DatagramKind.LimitReturn
+  readonly kind: DatagramKind.LimitRefund
   readonly scope: LimitScope
   readonly address: string
   readonly key: string
@@ -67,12 +67,12 @@
 export function encodeLimitMessage (message: LimitMessage): Buffer {
   const { kind, scope, address, key } = message
   switch (kind) {
-    case DatagramKind.LimitQuestion: {
+    case DatagramKind.LimitRequest: {
       const { number, limit: { perSecond, burst, revision }, cost, isTaken } = message
       return packDatagram([kind, scope, address, key, number, perSecond, burst, revision, cost, isTaken])
     }
-    case DatagramKind.LimitAnswer: return packDatagram([kind, scope, address, key, message.number, message.outcome, message.role, Math.ceil(message.retryMs), Math.floor(message.free), message.owner])
-    case DatagramKind.LimitReturn: return packDatagram([kind, scope, address, key, message.cost])
+    case DatagramKind.LimitResponse: return packDatagram([kind, scope, address, key, message.number, message.outcome, message.role, Math.ceil(message.retryMs), Math.floor(message.free), message.owner])
+    case DatagramKind.LimitRefund: return packDatagram([kind, scope, address, key, message.cost])
     case DatagramKind.LimitRenewal:
     case DatagramKind.LimitPromise: return packDatagram([kind, scope, address, key, message.sentAt])
   }
@@ -86,13 +86,13 @@
 const readRenewal = (kind: LimitRenewal['kind']): Reader => (head, [sentAt]) => ({ kind, ...head, sentAt: Number(sentAt) })
 
 const readers: Readonly<Record<LimitMessage['kind'], Reader>> = {
-  [DatagramKind.LimitQuestion]: (head, [number, perSecond, burst, revision, cost, isTaken]) => ({
-    kind: DatagramKind.LimitQuestion, ...head, number: Number(number), limit: { perSecond: Number(perSecond), burst: Number(burst), revision: Number(revision) }, cost: Number(cost), isTaken: isTaken === true
+  [DatagramKind.LimitRequest]: (head, [number, perSecond, burst, revision, cost, isTaken]) => ({
+    kind: DatagramKind.LimitRequest, ...head, number: Number(number), limit: { perSecond: Number(perSecond), burst: Number(burst), revision: Number(revision) }, cost: Number(cost), isTaken: isTaken === true
   }),
-  [DatagramKind.LimitAnswer]: (head, [number, outcome, role, retryMs, free, owner]) => ({
-    kind: DatagramKind.LimitAnswer, ...head, number: Number(number), outcome: outcome as LimitOutcome, role: role as LimitRole, retryMs: Number(retryMs), free: Number(free), owner: String(owner)
+  [DatagramKind.LimitResponse]: (head, [number, outcome, role, retryMs, free, owner]) => ({
+    kind: DatagramKind.LimitResponse, ...head, number: Number(number), outcome: outcome as LimitOutcome, role: role as LimitRole, retryMs: Number(retryMs), free: Number(free), owner: String(owner)
   }),
-  [DatagramKind.LimitReturn]: (head, [cost]) => ({ kind: DatagramKind.LimitReturn, ...head, cost: Number(cost) }),
+  [DatagramKind.LimitRefund]: (head, [cost]) => ({ kind: DatagramKind.LimitRefund, ...head, cost: Number(cost) }),
   [DatagramKind.LimitRenewal]: readRenewal(DatagramKind.LimitRenewal),
   [DatagramKind.LimitPromise]: readRenewal(DatagramKind.LimitPromise)
 }
@@ -100,7 +100,7 @@
 /** A number such as NaN would leave the key's bucket empty forever. */
 function hasFiniteNumbers (message: LimitMessage): boolean {
   return Object.values(message).every(value => typeof value !== 'number' || Number.isFinite(value)) &&
-    (message.kind !== DatagramKind.LimitQuestion || Object.values(message.limit).every(Number.isFinite))
+    (message.kind !== DatagramKind.LimitRequest || Object.values(message.limit).every(Number.isFinite))
 }
 
 /** Returns Nothing for a datagram of another form. */
--- a/packages/foxtaillever-relay/src/limits/limitProtocol.ts
+++ b/packages/foxtaillever-relay/src/limits/limitProtocol.ts
@@ -1,7 +1,7 @@
 /**
  * Limits that the instances of a fleet share. Each key has an owner, computed from
  * the members, that decides for all instances; the next two in the ranking take
- * over within the bounds that `SharedLimitBook` sets. Each response grants its
+ * over within the bounds that `SharedLimitLedger` sets. Each response grants its
  * requester an allowance to use without waiting. Far from the limit a claim is admitted
  * from the allowance and only counted at the owner; near the limit it waits for one
  * response.
@@ -139,16 +139,16 @@
     if (owner === address) {
       this.ledger.refund(key, cost)
     } else if (owner !== undefined) {
-      send(owner, { kind: DatagramKind.LimitReturn, scope, address, key, cost })
+      send(owner, { kind: DatagramKind.LimitRefund, scope, address, key, cost })
     }
   }
 
   receive (message: LimitMessage): void {
     const { clock, address, send } = this.options
     switch (message.kind) {
-      case DatagramKind.LimitQuestion: send(message.address, this.decide(this.convertRevision(message))); break
-      case DatagramKind.LimitAnswer: this.receiveResponse(message); break
-      case DatagramKind.LimitReturn: this.ledger.refund(message.key, message.cost); break
+      case DatagramKind.LimitRequest: send(message.address, this.decide(this.convertRevision(message))); break
+      case DatagramKind.LimitResponse: this.receiveResponse(message); break
+      case DatagramKind.LimitRefund: this.ledger.refund(message.key, message.cost); break
       case DatagramKind.LimitRenewal:
         // The sender may have just joined and own the key now; this instance must count it as a member.
         this.options.onInstanceSeen(message.address)
@@ -184,7 +184,7 @@
 
   private sendRequest (address: string, number: number, claim: LimitClaim): void {
     const { address: own, scope } = this.options
-    const request: LimitRequest = { kind: DatagramKind.LimitQuestion, scope, address: own, number, ...claim }
+    const request: LimitRequest = { kind: DatagramKind.LimitRequest, scope, address: own, number, ...claim }
     if (address === own) {
       this.receiveResponse(this.decide(request))
     } else {
@@ -284,6 +284,6 @@
     if (!isTaken) {
       onDecided(role, outcome)
     }
-    return { kind: DatagramKind.LimitAnswer, scope, address, number, key, outcome, role, retryMs: retryAt - now, free, owner: outcome === LimitOutcome.NotMine && ranked[0] !== address ? ranked[0] ?? '' : '' }
+    return { kind: DatagramKind.LimitResponse, scope, address, number, key, outcome, role, retryMs: retryAt - now, free, owner: outcome === LimitOutcome.NotMine && ranked[0] !== address ? ranked[0] ?? '' : '' }
   }
 }
--- a/packages/foxtaillever-relay/src/peers/__fixtures__/loadProtocolFleet.ts
+++ b/packages/foxtaillever-relay/src/peers/__fixtures__/loadProtocolFleet.ts
@@ -7,7 +7,7 @@
 import { encodeLoadMessage, readLoadMessage, type LoadMessage } from '../loadMessage.js'
 import type { LevelAtHome } from '../loadQueryClient.js'
 import { LoadProtocol } from '../loadProtocol.js'
-import type { ServerUse } from '../peerMessage.js'
+import type { ServerLoadEntry } from '../peerMessage.js'
 
 /** Transit time of a datagram, milliseconds. */
 const LATENCY_MS = 1
@@ -21,9 +21,9 @@
 export interface LoadPeer {
   readonly address: string
   readonly protocol: LoadProtocol
-  readonly use: FleetLoad
+  readonly fleetLoad: FleetLoad
   /** Load that the instance puts on each server. */
-  readonly own: Map<number, ServerUse>
+  readonly ownLoads: Map<number, ServerLoadEntry>
   /** Servers reported to the instance as unreachable. */
   readonly unreachable: Set<number>
   readonly backingOff: Set<number>
@@ -56,18 +56,18 @@
   }
 
   setLoad (peer: LoadPeer, server: string, outstanding: number): void {
-    this.change(peer, own => {
+    this.change(peer, ownLoads => {
       if (outstanding === 0) {
-        own.delete(hashNumber(server))
+        ownLoads.delete(hashNumber(server))
       } else {
-        own.set(hashNumber(server), { server: hashNumber(server), outstanding, tokens: outstanding * 2890, heldTokens: outstanding * 9200 })
+        ownLoads.set(hashNumber(server), { server: hashNumber(server), outstanding, tokens: outstanding * 2890, heldTokens: outstanding * 9200 })
       }
     })
   }
 
   /** Changes the load that the instance puts on servers. */
-  change ({ own, protocol }: LoadPeer, change: (own: Map<number, ServerUse>) => void): void {
-    change(own)
+  change ({ ownLoads, protocol }: LoadPeer, change: (ownLoads: Map<number, ServerLoadEntry>) => void): void {
+    change(ownLoads)
     protocol.noteChange()
   }
 
@@ -84,14 +84,14 @@
   }
 
   /** Queries a server and returns its outstanding requests as then known. */
-  async query ({ protocol, use }: LoadPeer, server: string, level?: LevelAtHome): Promise<number> {
+  async query ({ protocol, fleetLoad }: LoadPeer, server: string, level?: LevelAtHome): Promise<number> {
     const waiting = new Set([server])
     const answered = protocol.query({ servers: [hashNumber(server)], level }).then(() => waiting.clear())
     while (waiting.size > 0) {
       await this.advance(1)
     }
     await answered
-    return use.of(hashNumber(server)).outstanding
+    return fleetLoad.of(hashNumber(server)).outstanding
   }
 
   async advance (ms: number): Promise<void> {
@@ -112,17 +112,17 @@
 
   private createPeer (address: string, others: readonly string[]): LoadPeer {
     const { clock } = this
-    const use = FleetLoad.create(clock)
-    const own = new Map<number, ServerUse>()
+    const fleetLoad = FleetLoad.create(clock)
+    const ownLoads = new Map<number, ServerLoadEntry>()
     const unreachable = new Set<number>()
     const backingOff = new Set<number>()
     const saved = new Set<number>()
     const watchers = ComputedWatchers.create()
     watchers.setMembers([address, ...others])
     const protocol = LoadProtocol.create({
-      clock, address, use, send: (to, message) => this.send(address, to, message), watchersOf: server => watchers.of(server), own: () => [...own.values()], isQueried: server => !this.unqueried.has(server), onSaved: levels => { levels.forEach(level => saved.add(level)) }, onUnreachable: server => { unreachable.add(server) }, onBackingOff: server => { backingOff.add(server) }, onUnresponsive: () => {}
+      clock, address, fleetLoad, send: (to, message) => this.send(address, to, message), watchersOf: server => watchers.of(server), ownLoads: () => [...ownLoads.values()], isQueried: server => !this.unqueried.has(server), onSaved: levels => { levels.forEach(level => saved.add(level)) }, onUnreachable: server => { unreachable.add(server) }, onBackingOff: server => { backingOff.add(server) }, onUnresponsive: () => {}
     })
-    return { address, protocol, use, own, unreachable, backingOff, saved, bytes: 0, isCut: false, cancelHeartbeat: () => {} }
+    return { address, protocol, fleetLoad, ownLoads, unreachable, backingOff, saved, bytes: 0, isCut: false, cancelHeartbeat: () => {} }
   }
 
   private send (from: string, to: string, message: LoadMessage): void {
--- a/packages/foxtaillever-relay/src/peers/__tests__/loadProtocol.test.ts
+++ b/packages/foxtaillever-relay/src/peers/__tests__/loadProtocol.test.ts
@@ -37,9 +37,9 @@
   })
   await fleet.advance(500 / REQUESTS)
   await Promise.all(queried)
-  fleet.peers.forEach(peer => fleet.change(peer, own => own.forEach(use => own.set(use.server, { ...use, tokens: 0 }))))
+  fleet.peers.forEach(peer => fleet.change(peer, ownLoads => ownLoads.forEach(load => ownLoads.set(load.server, { ...load, tokens: 0 }))))
   await fleet.advance(500 / REQUESTS)
-  fleet.peers.forEach(peer => fleet.change(peer, own => own.clear()))
+  fleet.peers.forEach(peer => fleet.change(peer, ownLoads => ownLoads.clear()))
 }
 
 describe('load in a large fleet', () => {
--- a/packages/foxtaillever-relay/src/peers/__tests__/peerTable.test.ts
+++ b/packages/foxtaillever-relay/src/peers/__tests__/peerTable.test.ts
@@ -18,7 +18,7 @@
   revision: -1,
   positions: { operators: 0, servers: 0 },
   lease: undefined,
-  uses: [],
+  loads: [],
   sums: [],
   suspects: [],
   savedLevels: [],
--- a/packages/foxtaillever-relay/src/peers/datagram.ts
+++ b/packages/foxtaillever-relay/src/peers/datagram.ts
@@ -14,9 +14,9 @@
   ServerLoadReport = 11,
   LoadQuestion = 12,
   LoadAnswer = 13,
-  LimitQuestion = 21,
-  LimitAnswer = 22,
-  LimitReturn = 23,
+  LimitRequest = 21,
+  LimitResponse = 22,
+  LimitRefund = 23,
   LimitRenewal = 24,
   LimitPromise = 25
 }
--- a/packages/foxtaillever-relay/src/peers/fleetLoad.ts
+++ b/packages/foxtaillever-relay/src/peers/fleetLoad.ts
@@ -1,10 +1,10 @@
 /** Load that the other instances put on each backend server, as last reported. */
 import type { Clock } from 'foxtaillever-core'
 import { decayLoad, noLoad, estimateSum, type ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
-import type { ServerUse } from './peerMessage.js'
+import type { ServerLoadEntry } from './peerMessage.js'
 
 interface PeerLoad {
-  readonly uses: readonly ServerUse[]
+  readonly loads: readonly ServerLoadEntry[]
   /** Milliseconds of Unix time. */
   readonly at: number
 }
@@ -41,14 +41,14 @@
    */
   sampledTokens (server: number, others: number): number {
     const now = this.clock.now()
-    const samples = [...this.byPeer.values()].map(({ uses, at }) => ({ amount: uses.find(use => use.server === server)?.tokens ?? 0, ageMs: now - at }))
+    const samples = [...this.byPeer.values()].map(({ loads, at }) => ({ amount: loads.find(load => load.server === server)?.tokens ?? 0, ageMs: now - at }))
     return estimateSum(samples, others)
   }
 
-  setPeerLoad (peer: string, uses: readonly ServerUse[]): void {
+  setPeerLoad (peer: string, loads: readonly ServerLoadEntry[]): void {
     this.remove(peer)
-    this.byPeer.set(peer, { uses, at: this.clock.now() })
-    this.addAll(uses, 1)
+    this.byPeer.set(peer, { loads, at: this.clock.now() })
+    this.addAll(loads, 1)
   }
 
   /** Records the load that a watcher reported for all other instances together. */
@@ -72,17 +72,17 @@
   }
 
   private remove (peer: string): void {
-    this.addAll(this.byPeer.get(peer)?.uses ?? [], -1)
+    this.addAll(this.byPeer.get(peer)?.loads ?? [], -1)
     this.byPeer.delete(peer)
   }
 
-  private addAll (uses: readonly ServerUse[], sign: 1 | -1): void {
-    for (const use of uses) {
-      const sum = add(this.sums.get(use.server) ?? noLoad, use, sign)
+  private addAll (loads: readonly ServerLoadEntry[], sign: 1 | -1): void {
+    for (const load of loads) {
+      const sum = add(this.sums.get(load.server) ?? noLoad, load, sign)
       if (sum.outstanding <= 0) {
-        this.sums.delete(use.server)
+        this.sums.delete(load.server)
       } else {
-        this.sums.set(use.server, sum)
+        this.sums.set(load.server, sum)
       }
     }
   }
--- a/packages/foxtaillever-relay/src/peers/loadMessage.ts
+++ b/packages/foxtaillever-relay/src/peers/loadMessage.ts
@@ -1,7 +1,7 @@
 /** Datagrams with which instances of a large fleet report and query load: positional arrays, servers by hash. */
 import { Maybe } from 'purify-ts'
 import { DatagramKind, packDatagram } from './datagram.js'
-import type { ServerUse } from './peerMessage.js'
+import type { ServerLoadEntry } from './peerMessage.js'
 
 export type LoadMessageKind = DatagramKind.ServerLoadReport | DatagramKind.LoadQuestion | DatagramKind.LoadAnswer
 
@@ -9,7 +9,7 @@
 export interface ServerLoadReport {
   readonly kind: DatagramKind.ServerLoadReport
   readonly address: string
-  readonly loads: readonly ServerUse[]
+  readonly loads: readonly ServerLoadEntry[]
   /** Servers that recently accepted no connection from the sender. */
   readonly unreachable: readonly number[]
   /** Prompt levels that the sender had saved to their store; their home is a server that the receiver watches. */
@@ -32,7 +32,7 @@
   readonly kind: DatagramKind.LoadAnswer
   readonly address: string
   readonly number: number
-  readonly loads: readonly ServerUse[]
+  readonly loads: readonly ServerLoadEntry[]
   /** The servers among these that several instances recently could not reach. */
   readonly unreachable: readonly number[]
   /** The levels among these that were saved recently. */
@@ -45,9 +45,9 @@
 
 type WireLoad = readonly [number, number, number, number]
 
-const packLoad = ({ server, outstanding, tokens, heldTokens }: ServerUse): WireLoad => [server, outstanding, tokens, heldTokens]
+const packLoad = ({ server, outstanding, tokens, heldTokens }: ServerLoadEntry): WireLoad => [server, outstanding, tokens, heldTokens]
 const readNumbers = (wire: unknown = []): number[] => (wire as unknown[]).map(Number)
-const readLoad = ([server, outstanding, tokens, heldTokens]: WireLoad): ServerUse => ({ server, outstanding, tokens, heldTokens })
+const readLoad = ([server, outstanding, tokens, heldTokens]: WireLoad): ServerLoadEntry => ({ server, outstanding, tokens, heldTokens })
 
 export function encodeLoadMessage (message: LoadMessage): Buffer {
   const { kind, address } = message
--- a/packages/foxtaillever-relay/src/peers/loadProtocol.ts
+++ b/packages/foxtaillever-relay/src/peers/loadProtocol.ts
@@ -12,7 +12,7 @@
 import type { LoadMessage, LoadQuestion, ServerLoadReport } from './loadMessage.js'
 import { LoadQueryClient, type LevelAtHome, type LoadQueryClientOptions, type LoadQuery, type WatcherQuestion, type WatcherReport } from './loadQueryClient.js'
 import { WatchedServerTable } from './watchedServerTable.js'
-import type { ServerUse } from './peerMessage.js'
+import type { ServerLoadEntry } from './peerMessage.js'
 
 /** Milliseconds between two reports of changes: each of 42 servers gets a request every 100. The first change is reported at once. */
 const POLL_INTERVAL_MS = 25
@@ -31,10 +31,10 @@
 const MISSED_HEARTBEAT_MS = 1500
 
 export interface LoadProtocolOptions extends Pick<LoadQueryClientOptions, 'clock' | 'address' | 'watchersOf' | 'onUnresponsive'> {
-  readonly use: FleetLoad
+  readonly fleetLoad: FleetLoad
   readonly send: (address: string, message: LoadMessage) => void
   /** Load that this instance puts on each server now. */
-  readonly own: () => readonly ServerUse[]
+  readonly ownLoads: () => readonly ServerLoadEntry[]
   /** Whether instances query the load of the server before they choose; the load of other servers is reported with heartbeats only. */
   readonly isQueried: (server: number) => boolean
   /** Called with levels that any instance saved recently. */
@@ -135,7 +135,7 @@
   }
 
   /** Total load of the servers for which this instance is the first watcher, to be sent to all instances. */
-  sums (servers: readonly number[]): ServerUse[] {
+  sums (servers: readonly number[]): ServerLoadEntry[] {
     const { address, clock } = this.options
     return servers
       .filter(server => this.options.watchersOf(server)[0] === address)
@@ -162,8 +162,8 @@
   }
 
   private applyWatcherReport ({ loads, unreachable, saved, backingOff }: WatcherReport): void {
-    const { use, onUnreachable, onBackingOff, onSaved } = this.options
-    loads.forEach(({ server, ...load }) => use.setWatchedLoad(server, load))
+    const { fleetLoad, onUnreachable, onBackingOff, onSaved } = this.options
+    loads.forEach(({ server, ...load }) => fleetLoad.setWatchedLoad(server, load))
     unreachable.forEach(onUnreachable)
     backingOff.forEach(onBackingOff)
     onSaved(saved)
@@ -178,21 +178,21 @@
 
   /** Reports changes to the first watcher at once, and everything to both watchers with a heartbeat. */
   private sendReports (isReported: (server: number) => boolean, now: number): void {
-    const own = new Map(this.options.own().filter(({ server }) => isReported(server)).map(use => [use.server, use]))
-    const reports = new Map<string, ServerUse[]>()
+    const own = new Map(this.options.ownLoads().filter(({ server }) => isReported(server)).map(load => [load.server, load]))
+    const reports = new Map<string, ServerLoadEntry[]>()
     const gone = [...this.reported.keys()].filter(server => !own.has(server) && isReported(server))
-    for (const use of [...own.values(), ...gone.map(server => ({ server, outstanding: 0, tokens: 0, heldTokens: 0 }))]) {
-      const last = this.reported.get(use.server)
+    for (const load of [...own.values(), ...gone.map(server => ({ server, outstanding: 0, tokens: 0, heldTokens: 0 }))]) {
+      const last = this.reported.get(load.server)
       const isDue = last === undefined || last.at + REPEAT_REPORT_MS <= now
-      if (isDue || !isSame(last, use)) {
-        this.addToReports(use, isDue, reports, now)
+      if (isDue || !isSame(last, load)) {
+        this.addToReports(load, isDue, reports, now)
       }
     }
     reports.forEach((loads, watcher) => this.sendReport(watcher, { loads }, now))
   }
 
-  private addToReports (use: ServerUse, isForAll: boolean, reports: Map<string, ServerUse[]>, now: number): void {
-    const { server, outstanding, tokens, heldTokens } = use
+  private addToReports (load: ServerLoadEntry, isForAll: boolean, reports: Map<string, ServerLoadEntry[]>, now: number): void {
+    const { server, outstanding, tokens, heldTokens } = load
     const watchers = this.options.watchersOf(server)
     const [primary = ''] = watchers
     const at = isForAll ? now : this.reported.get(server)?.at ?? now
--- a/packages/foxtaillever-relay/src/peers/peerLink.ts
+++ b/packages/foxtaillever-relay/src/peers/peerLink.ts
@@ -74,9 +74,9 @@
       [DatagramKind.LoadAnswer]: receiveLoad,
       [DatagramKind.ReadNotice]: wire => { readReadNotice(wire).ifJust(onNotice) },
       [DatagramKind.Weights]: wire => { readWeightsNotice(wire).ifJust(onWeights) },
-      [DatagramKind.LimitQuestion]: receiveLimit,
-      [DatagramKind.LimitAnswer]: receiveLimit,
-      [DatagramKind.LimitReturn]: receiveLimit,
+      [DatagramKind.LimitRequest]: receiveLimit,
+      [DatagramKind.LimitResponse]: receiveLimit,
+      [DatagramKind.LimitRefund]: receiveLimit,
       [DatagramKind.LimitRenewal]: receiveLimit,
       [DatagramKind.LimitPromise]: receiveLimit
     }
--- a/packages/foxtaillever-relay/src/peers/peerMessage.ts
+++ b/packages/foxtaillever-relay/src/peers/peerMessage.ts
@@ -12,7 +12,7 @@
 }
 
 /** Load on a backend server. */
-export interface ServerUse extends ServerLoad {
+export interface ServerLoadEntry extends ServerLoad {
   /** Hash of its incarnation, or of the address of a store of cached levels. */
   readonly server: number
 }
@@ -82,9 +82,9 @@
   readonly revision: number
   readonly lease: LeaseUpdate | undefined
   /** Load that the sender itself puts on servers; in a large fleet only on the store of cached levels. */
-  readonly uses: readonly ServerUse[]
+  readonly loads: readonly ServerLoadEntry[]
   /** Load of all instances on the servers that the sender watches for the fleet. */
-  readonly sums: readonly ServerUse[]
+  readonly sums: readonly ServerLoadEntry[]
   /** When weights were named: the store keeps only the newest, without the time at which they were named. */
   readonly named: readonly NamedWeightsUpdate[]
   /** Digests of requests suspected of crashing backend servers. */
@@ -102,16 +102,16 @@
 }
 
 export function encodePeerMessage (message: PeerMessage): Buffer {
-  const { name, address, failureDomain, startedAt, isLeaving, hasStore, positions, lease, uses, suspects, savedLevels, named, current, sums, stores, instances, speeds, limits, revision } = message
+  const { name, address, failureDomain, startedAt, isLeaving, hasStore, positions, lease, loads, suspects, savedLevels, named, current, sums, stores, instances, speeds, limits, revision } = message
   return packDatagram([
     name, address, failureDomain, startedAt, isLeaving, hasStore, positions.operators, positions.servers,
     lease === undefined ? null : [lease.offset, lease.holder, Math.round(lease.ageMs)],
-    uses.map(packUse),
+    loads.map(packLoad),
     suspects,
     savedLevels,
     named.map(({ model, version, ageMs }) => [model, version, Math.round(ageMs)]),
     current.map(({ model, version, engines }) => [model, version, engines]),
-    sums.map(packUse),
+    sums.map(packLoad),
     stores.map(({ store, isSilent, incarnation }) => [store, isSilent, incarnation]),
     instances,
     speeds.map(({ service, tokensPerMs, samples }) => [service, Math.round(tokensPerMs), samples]),
@@ -120,28 +120,28 @@
   ])
 }
 
-type WireUse = readonly [number, number, number, number?]
+type WireLoad = readonly [number, number, number, number?]
 
 /** Held tokens are sent in units of this size, that of a short prompt, so that a heartbeat of a small fleet stays within its budget. */
 const HELD_UNIT = 512
 
-function packUse ({ server, outstanding, tokens, heldTokens }: ServerUse): WireUse {
+function packLoad ({ server, outstanding, tokens, heldTokens }: ServerLoadEntry): WireLoad {
   return [server, outstanding, tokens, Math.round(heldTokens / HELD_UNIT)]
 }
 
-function readUse ([server, outstanding, tokens, held = 0]: WireUse): ServerUse {
+function readLoad ([server, outstanding, tokens, held = 0]: WireLoad): ServerLoadEntry {
   return { server, outstanding, tokens, heldTokens: held * HELD_UNIT }
 }
 
 type Wire = readonly [
   string, string, string, number, boolean, boolean, number, number,
   readonly [number, string, number] | null,
-  readonly WireUse[],
+  readonly WireLoad[],
   readonly string[],
   readonly number[],
   ReadonlyArray<readonly [string, number, number]> | undefined,
   ReadonlyArray<readonly [string, number, readonly number[]]> | undefined,
-  readonly WireUse[] | undefined,
+  readonly WireLoad[] | undefined,
   ReadonlyArray<readonly [string, boolean, number]> | undefined,
   number | undefined,
   ReadonlyArray<readonly [string, number, number]> | undefined,
@@ -167,7 +167,7 @@
 /** Nothing for a datagram of another form, which an instance of another release may send. */
 export function readPeerMessage (datagram: readonly unknown[]): Maybe<PeerMessage> {
   return Maybe.of(datagram).filter(isWire).chain(wire => Maybe.encase(() => {
-    const [name, address, failureDomain, startedAt, isLeaving, hasStore, operators, servers, lease, uses, suspects, savedLevels, named = [], current = [], sums = [], stores = [], instances = 1, speeds = [], limits = [], revision = -1] = wire
+    const [name, address, failureDomain, startedAt, isLeaving, hasStore, operators, servers, lease, loads, suspects, savedLevels, named = [], current = [], sums = [], stores = [], instances = 1, speeds = [], limits = [], revision = -1] = wire
     return {
       name,
       address,
@@ -178,8 +178,8 @@
       positions: { operators, servers },
       revision: Number(revision),
       lease: lease === null ? undefined : { offset: lease[0], holder: lease[1], ageMs: lease[2] },
-      uses: uses.map(readUse),
-      sums: sums.map(readUse),
+      loads: loads.map(readLoad),
+      sums: sums.map(readLoad),
       instances: Number(instances) || 1,
       suspects,
       savedLevels,
--- a/packages/foxtaillever-relay/src/peers/peers.ts
+++ b/packages/foxtaillever-relay/src/peers/peers.ts
@@ -9,7 +9,7 @@
 import { PeerLink, type PeerLinkOptions, type AnnouncedRecords } from './peerLink.js'
 import { FleetLoad } from './fleetLoad.js'
 import { LoadProtocol } from './loadProtocol.js'
-import type { LeaseUpdate, PeerMessage, ServerUse, WeightsUpdate } from './peerMessage.js'
+import type { LeaseUpdate, PeerMessage, ServerLoadEntry, WeightsUpdate } from './peerMessage.js'
 import { PeerTable } from './peerTable.js'
 import type { ReadNotice } from './readNotice.js'
 import { HeartbeatRounds } from './heartbeatRounds.js'
@@ -77,7 +77,7 @@
   readonly recordsFrom: (topic: AnnouncedTopic, from: number) => AnnouncedRecords
   readonly onMessage: (message: PeerMessage) => void
   /** Load that this instance puts on each server now. */
-  readonly ownUses: () => readonly ServerUse[]
+  readonly ownLoads: () => readonly ServerLoadEntry[]
   /** Whether instances query the load of a server before they choose. */
   readonly isQueried: (server: number) => boolean
   /** Called with levels that any instance saved recently. */
@@ -115,7 +115,7 @@
   private cancelSend: Cancellation = () => {}
 
   private constructor (private readonly options: PeersOptions) {
-    const { clock, host, port, recordsFrom, onNotice, onWeights, onLeaseCall, onLimit, ownUses, isQueried, onSaved, onUnreachable, onBackingOff, onUnresponsive } = options
+    const { clock, host, port, recordsFrom, onNotice, onWeights, onLeaseCall, onLimit, ownLoads, isQueried, onSaved, onUnreachable, onBackingOff, onUnresponsive } = options
     this.address = `${host}:${port}`
     this.startedAt = clock.now()
     this.limitOwners = LimitOwners.create(this.options.processStartedAt)
@@ -125,7 +125,7 @@
       clock, host, port, recordsFrom, onNotice, onWeights, onLeaseCall, onLimit, onMessage: message => this.handleMessage(message), onLoad: message => this.loadProtocol.handleMessage(message)
     })
     this.loadProtocol = LoadProtocol.create({
-      clock, address: this.address, use: this.fleetLoad, own: ownUses, isQueried, onSaved, onUnreachable, onBackingOff, onUnresponsive, send: (address, message) => this.link.sendLoad(address, message), watchersOf: server => this.watchers.of(server)
+      clock, address: this.address, fleetLoad: this.fleetLoad, ownLoads, isQueried, onSaved, onUnreachable, onBackingOff, onUnresponsive, send: (address, message) => this.link.sendLoad(address, message), watchersOf: server => this.watchers.of(server)
     })
   }
 
@@ -284,7 +284,7 @@
       if (known === undefined || known.isLeaving !== message.isLeaving) {
         this.refresh()
       }
-      this.fleetLoad.setPeerLoad(message.address, message.uses)
+      this.fleetLoad.setPeerLoad(message.address, message.loads)
       message.sums.forEach(({ server, ...load }) => this.fleetLoad.setWatchedLoad(server, load))
       this.options.onMessage(message)
     }
--- a/packages/foxtaillever-relay/src/peers/unresponsivePeers.ts
+++ b/packages/foxtaillever-relay/src/peers/unresponsivePeers.ts
@@ -39,11 +39,11 @@
 
   /** Records that the instance did not answer a question in time. */
   recordTimeout (address: string): void {
-    const { clock, onUnresponsive: onPassedOver } = this.options
+    const { clock, onUnresponsive } = this.options
     const unanswered = (this.unansweredByAddress.get(address)?.unanswered ?? 0) + 1
     this.unansweredByAddress.set(address, { unanswered, until: clock.now() + SKIP_MS })
     if (unanswered === MAX_UNANSWERED) {
-      onPassedOver(address)
+      onUnresponsive(address)
     }
   }
 }
--- a/packages/foxtaillever-relay/src/peers/watchedServerTable.ts
+++ b/packages/foxtaillever-relay/src/peers/watchedServerTable.ts
@@ -1,7 +1,7 @@
 /** What other instances reported about the servers that this instance watches: load, failed connections, requests to back off, and saved prompt levels. */
 import { SavedLevels } from 'foxtaillever-policy/relay/savedLevels'
 import { noLoad, type ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
-import type { ServerUse } from './peerMessage.js'
+import type { ServerLoadEntry } from './peerMessage.js'
 
 interface ReportedLoad extends ServerLoad {
   /** Milliseconds of Unix time. */
@@ -37,7 +37,7 @@
     return new WatchedServerTable()
   }
 
-  recordLoads (reporter: string, loads: readonly ServerUse[], now: number): void {
+  recordLoads (reporter: string, loads: readonly ServerLoadEntry[], now: number): void {
     for (const { server, ...load } of loads) {
       const reports = this.loads.get(server) ?? new Map<string, ReportedLoad>()
       this.loads.set(server, reports)
--- a/packages/foxtaillever-relay/src/relay.ts
+++ b/packages/foxtaillever-relay/src/relay.ts
@@ -12,7 +12,7 @@
 import type { Routing } from './model/routing.js'
 import { createOwnReport, applyPeerMessage, applyWeightsNotice, type HeartbeatParts } from './peers/heartbeatContents.js'
 import { answerLeaseCall } from './peers/leaseCalls.js'
-import { ownUses } from './peers/ownUses.js'
+import { ownLoads } from './peers/ownLoads.js'
 import { Peers } from './peers/peers.js'
 import type { RelayOptions, RunningSettings } from './relayOptions.js'
 import { RouteTable } from './routing/routeTable.js'
@@ -195,7 +195,7 @@
       lease: () => this.orderCoordinator.lease.snapshot(),
       recordsFrom: (topic, from) => this.storeReplica.updateSince(topic, from),
       onMessage: message => applyPeerMessage(this.heartbeatParts(), message),
-      ownUses: () => ownUses(this.dispatcher.directory.all()),
+      ownLoads: () => ownLoads(this.dispatcher.directory.all()),
       isQueried: server => (this.dispatcher.directory.getByHash(server)?.weights.size ?? 0) > 0,
       onSaved: levels => this.dispatcher.caches.savedLevels.recordAnnounced(levels, clock.now()),
       onUnreachable: hash => this.dispatcher.recordUnreachable(hash),
--- a/packages/foxtaillever-relay/src/servers/__tests__/callServer.test.ts
+++ b/packages/foxtaillever-relay/src/servers/__tests__/callServer.test.ts
@@ -32,7 +32,7 @@
   describe('in a process that is paused past the deadline', () => {
     // The process is paused while a call to the store is in flight. The deadline timer fires before the answer is read,
     // the store counts as unreachable, and requests are refused that could be served.
-    it('takes the answer that had arrived', async t => {
+    it('accepts the answer that had arrived', async t => {
       const deadline = clock.now() + DEADLINE_MS
       const { server, connections } = await listen((_request, response) => {
         response.end('known', () => holdUpUntil(deadline + STALL_MS))
--- a/packages/foxtaillever-relay/src/servers/knownServer.ts
+++ b/packages/foxtaillever-relay/src/servers/knownServer.ts
@@ -38,7 +38,7 @@
   /** Another server answered at its address: nothing is sent to it until then, milliseconds of Unix time. */
   displacedUntil: number
   /** Its address refused a connection: until then it gets only requests that no other server can take, milliseconds of Unix time. */
-  absentUntil: number
+  unreachableUntil: number
   /** The limit that it stated is used up: it gets no requests until then, milliseconds of Unix time. */
   limitedUntil: number
   /** When the server last refused a request, milliseconds of Unix time. */
@@ -68,7 +68,7 @@
     unreadTokens: 0,
     heldTokens: 0,
     displacedUntil: 0,
-    absentUntil: 0,
+    unreachableUntil: 0,
     limitedUntil: 0,
     refusedAt: 0,
     peerBackoffUntil: 0,
--- a/packages/foxtaillever-relay/src/servers/serverObservations.ts
+++ b/packages/foxtaillever-relay/src/servers/serverObservations.ts
@@ -30,7 +30,7 @@
 const DISPLACED_MS = 4000
 
 /** A refused connection means that a process has ended; the next one starts within about a second, milliseconds. */
-const ABSENT_MS = 300
+const UNREACHABLE_MS = 300
 
 export class ServerObservations {
   /** All servers of a service together. */
@@ -106,8 +106,8 @@
   }
 
   /** A connection to its address was refused. */
-  recordAbsent (server: KnownServer, now: number): void {
-    server.absentUntil = now + ABSENT_MS
+  recordUnreachable (server: KnownServer, now: number): void {
+    server.unreachableUntil = now + UNREACHABLE_MS
   }
 
   private recordOutcome ({ listed, health }: KnownServer, count: (health: ServerHealth) => void): void {
--- a/packages/foxtaillever-relay/src/servers/serverSelector.ts
+++ b/packages/foxtaillever-relay/src/servers/serverSelector.ts
@@ -109,7 +109,7 @@
     }
     const ready = directory.ready(exchange.service)
     const places = ready
-      .filter(server => availableFrom(server) <= now && server.absentUntil <= now && this.hasAllowedWeights(server, exchange))
+      .filter(server => availableFrom(server) <= now && server.unreachableUntil <= now && this.hasAllowedWeights(server, exchange))
       .map(server => ({ server, hash: server.idHash, failureDomain: server.listed.failureDomain }))
     const home = homeAmong(promptKey, this.homeDomains(promptKey, ready), places)?.server
     return home && home.changingUntil <= now ? home : undefined
@@ -130,7 +130,7 @@
   private rankServers (exchange: Exchange, servers: readonly KnownServer[], all: readonly KnownServer[]): readonly ServerCandidate[] {
     const { directory, random, failureDomain, estimateLevelFetch } = this.options
     const estimate = estimateLevelFetch(exchange)
-    const offers = servers.map(server => this.toOffer(server, exchange, estimate))
+    const candidates = servers.map(server => this.toCandidate(server, exchange, estimate))
     const { promptTokens, outputTokens } = exchange.prompt ?? { promptTokens: 0, outputTokens: 0 }
     const promptKey = promptKeyOf(exchange)
     const need = {
@@ -145,7 +145,7 @@
       fetchWaitMs: estimate.waitMs,
       failureDomain
     }
-    return rankCandidates(offers, need, random)
+    return rankCandidates(candidates, need, random)
   }
 
   /**
@@ -164,7 +164,7 @@
     if (promptKey === undefined) {
       return undefined
     }
-    const places = servers.map(({ idHash, listed, absentUntil }) => ({ hash: idHash, failureDomain: listed.failureDomain, isUnreachable: absentUntil > now }))
+    const places = servers.map(({ idHash, listed, unreachableUntil }) => ({ hash: idHash, failureDomain: listed.failureDomain, isUnreachable: unreachableUntil > now }))
     return presentHome(promptKey, this.homeDomains(promptKey, directory.ready(service)), places)?.hash
   }
 
@@ -203,9 +203,9 @@
     return outstanding + this.options.fleetLoad.of(hash).outstanding
   }
 
-  private toOffer (server: KnownServer, exchange: Exchange, estimate: LevelFetchEstimate): ServerCandidate {
+  private toCandidate (server: KnownServer, exchange: Exchange, estimate: LevelFetchEstimate): ServerCandidate {
     const { clock, directory, fleetLoad } = this.options
-    const { listed, unreadTokens, heldTokens, refusedAt, peerBackoffUntil, absentUntil, changingUntil } = server
+    const { listed, unreadTokens, heldTokens, refusedAt, peerBackoffUntil, unreachableUntil, changingUntil } = server
     const now = clock.now()
     const others = fleetLoad.of(server.hash)
     return {
@@ -219,7 +219,7 @@
       heldTokens: heldTokens + others.heldTokens,
       memoryTokens: directory.memoryTokensOf(listed.service),
       isRefusing: refusedAt + REFUSAL_LASTS_MS > now || peerBackoffUntil > now,
-      isUnreachable: absentUntil > now,
+      isUnreachable: unreachableUntil > now,
       faultCostMs: directory.observations.faultCostOf(server, now),
       isChanging: changingUntil > now,
       isOutdated: this.hasReducedValue(server, exchange),
--- a/packages/foxtaillever-relay/src/servers/serviceRetrySchedules.ts
+++ b/packages/foxtaillever-relay/src/servers/serviceRetrySchedules.ts
@@ -1,6 +1,6 @@
 /**
- * Tells refused callers when to retry at a service of which no server accepts requests
- * now: one caller after the other, starting when the first server accepts requests again.
+ * Gives retry times to callers refused because no server of a service accepts requests
+ * now: spread one after the other, starting when the first server accepts requests again.
  */
 import type { Clock } from 'foxtaillever-core'
 import { RetrySchedule } from 'foxtaillever-policy/limits/retrySchedule'
--- a/packages/foxtaillever-relay/src/telemetry/relayLog.ts
+++ b/packages/foxtaillever-relay/src/telemetry/relayLog.ts
@@ -56,9 +56,9 @@
     this.logs.write('debug', Part.Requests, 'Passed on the first event.', { request: exchange.id, afterMs: Math.round(now - exchange.arrivedAt) })
   }
 
-  attemptFailed (exchange: Exchange, server: string, { kind, detail, isOnReusedConnection: isOnKeptConnection }: AttemptFailure, verdict: Verdict): void {
+  attemptFailed (exchange: Exchange, server: string, { kind, detail, isOnReusedConnection }: AttemptFailure, verdict: Verdict): void {
     this.metrics.count('tries_failed_total', { kind })
-    this.logs.writeFailure(Part.Requests, 'A try failed.', { request: exchange.id, server, kind, detail, verdict, connection: isOnKeptConnection === true ? 'kept' : undefined })
+    this.logs.writeFailure(Part.Requests, 'A try failed.', { request: exchange.id, server, kind, detail, verdict, connection: isOnReusedConnection === true ? 'kept' : undefined })
   }
 
   /** The queue at its server would make the request late; it goes behind requests that can be in time. */
@@ -117,8 +117,8 @@
     this.logs.writeFailure(Part.Requests, 'A backend server asks for rest, and the time cannot be read.', { server, text })
   }
 
-  silent (exchange: Exchange, server: string, isOnKeptConnection: boolean): void {
-    const connection = isOnKeptConnection ? 'kept' : 'new'
+  silent (exchange: Exchange, server: string, isOnReusedConnection: boolean): void {
+    const connection = isOnReusedConnection ? 'kept' : 'new'
     this.metrics.count('silent_servers_total', { connection })
     this.logs.writeFailure(Part.Requests, 'A backend server is silent.', { request: exchange.id, server, connection })
   }
--- a/packages/foxtaillever-router/src/plain/createPlainDesk.ts
+++ b/packages/foxtaillever-router/src/plain/createPlainDesk.ts
@@ -4,7 +4,7 @@
 import { noLoad } from 'foxtaillever-policy/relay/serverLoad'
 import { noCacheStores } from 'foxtaillever-relay/cache/cacheStoreTracker'
 import { ExchangeDispatcher } from 'foxtaillever-relay/exchange/exchangeDispatcher'
-import type { Suspicions } from 'foxtaillever-relay/exchange/exchangeContext'
+import type { SuspectRegistry } from 'foxtaillever-relay/exchange/exchangeContext'
 import { noQuotas } from 'foxtaillever-relay/limits/accountQuotas'
 import { noSharedLimits } from 'foxtaillever-relay/limits/limitProtocol'
 import type { RelayLog } from 'foxtaillever-relay/telemetry/relayLog'
@@ -25,7 +25,7 @@
  * callers, so an outage of the service would make suspects of them, and they
  * would be refused long after it.
  */
-const noSuspicions: Suspicions = {
+const noSuspicions: SuspectRegistry = {
   isRefused: () => false,
   refusedUntil: () => 0,
   wasLostRepeatedly: () => false,
