--- a/packages/foxtaillever-relay/src/knowledge/readPlans.ts
+++ b/packages/foxtaillever-relay/src/knowledge/readPlans.ts
@@ -64,18 +64,18 @@
     const { clock, freshness, servers } = this.options
     return {
       waitMs: () => 0,
-      dueAt: () => nextReadAt(freshness.freshAt, this.placeAmongReaders()),
+      dueAt: () => nextReadAt(freshness.freshAt, this.rankAmongReaders()),
       notBefore: () => 0,
       onAnswered: () => freshness.recordStoreAnswer(clock.now(), servers().isFailing)
     }
   }
 
-  private placeAmongReaders (): ReaderRank {
+  private rankAmongReaders (): ReaderRank {
     const { self, readers } = this.options
     return rankReader(self, readers())
   }
 
   private watchAt (): number {
-    return nextWatchAt(this.options.freshness.watchedAt, this.placeAmongReaders())
+    return nextWatchAt(this.options.freshness.watchedAt, this.rankAmongReaders())
   }
 }
--- a/packages/foxtaillever-relay/src/peers/loadMessage.ts
+++ b/packages/foxtaillever-relay/src/peers/loadMessage.ts
@@ -3,7 +3,7 @@
 import { DatagramKind, packDatagram } from './datagram.js'
 import type { ServerLoadEntry } from './peerMessage.js'
 
-export type LoadMessageKind = DatagramKind.ServerLoadReport | DatagramKind.LoadQuestion | DatagramKind.LoadAnswer
+export type LoadMessageKind = DatagramKind.ServerLoadReport | DatagramKind.LoadRequest | DatagramKind.LoadResponse
 
 /** Load that the sender puts on servers that the receiver watches; replaces its earlier reports on these servers. */
 export interface ServerLoadReport {
@@ -19,8 +19,8 @@
 }
 
 /** Asks for the load that all other instances put on these servers. */
-export interface LoadQuestion {
-  readonly kind: DatagramKind.LoadQuestion
+export interface LoadRequest {
+  readonly kind: DatagramKind.LoadRequest
   readonly address: string
   readonly number: number
   readonly servers: readonly number[]
@@ -28,8 +28,8 @@
   readonly levels: readonly number[]
 }
 
-export interface LoadAnswer {
-  readonly kind: DatagramKind.LoadAnswer
+export interface LoadResponse {
+  readonly kind: DatagramKind.LoadResponse
   readonly address: string
   readonly number: number
   readonly loads: readonly ServerLoadEntry[]
@@ -41,7 +41,7 @@
   readonly backingOff: readonly number[]
 }
 
-export type LoadMessage = ServerLoadReport | LoadQuestion | LoadAnswer
+export type LoadMessage = ServerLoadReport | LoadRequest | LoadResponse
 
 type WireLoad = readonly [number, number, number, number]
 
@@ -53,15 +53,15 @@
   const { kind, address } = message
   switch (kind) {
     case DatagramKind.ServerLoadReport: return packDatagram([kind, address, message.loads.map(packLoad), message.unreachable, message.saved, message.backingOff])
-    case DatagramKind.LoadQuestion: return packDatagram([kind, address, message.number, message.servers, message.levels])
-    case DatagramKind.LoadAnswer: return packDatagram([kind, address, message.number, message.loads.map(packLoad), message.unreachable, message.saved, message.backingOff])
+    case DatagramKind.LoadRequest: return packDatagram([kind, address, message.number, message.servers, message.levels])
+    case DatagramKind.LoadResponse: return packDatagram([kind, address, message.number, message.loads.map(packLoad), message.unreachable, message.saved, message.backingOff])
   }
 }
 
 const readers: Readonly<Record<LoadMessageKind, (address: string, rest: readonly unknown[]) => LoadMessage>> = {
   [DatagramKind.ServerLoadReport]: (address, [loads, unreachable, saved, backingOff]) => ({ kind: DatagramKind.ServerLoadReport, address, loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), backingOff: readNumbers(backingOff) }),
-  [DatagramKind.LoadQuestion]: (address, [number, servers, levels]) => ({ kind: DatagramKind.LoadQuestion, address, number: Number(number), servers: readNumbers(servers), levels: readNumbers(levels) }),
-  [DatagramKind.LoadAnswer]: (address, [number, loads, unreachable, saved, backingOff]) => ({ kind: DatagramKind.LoadAnswer, address, number: Number(number), loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), backingOff: readNumbers(backingOff) })
+  [DatagramKind.LoadRequest]: (address, [number, servers, levels]) => ({ kind: DatagramKind.LoadRequest, address, number: Number(number), servers: readNumbers(servers), levels: readNumbers(levels) }),
+  [DatagramKind.LoadResponse]: (address, [number, loads, unreachable, saved, backingOff]) => ({ kind: DatagramKind.LoadResponse, address, number: Number(number), loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), backingOff: readNumbers(backingOff) })
 }
 
 /** Nothing for a datagram of another form. */
--- a/packages/foxtaillever-relay/src/peers/loadProtocol.ts
+++ b/packages/foxtaillever-relay/src/peers/loadProtocol.ts
@@ -9,8 +9,8 @@
 import type { ServerLoad } from 'foxtaillever-policy/relay/serverLoad'
 import { DatagramKind } from './datagram.js'
 import type { FleetLoad } from './fleetLoad.js'
-import type { LoadMessage, LoadQuestion, ServerLoadReport } from './loadMessage.js'
-import { LoadQueryClient, type LevelAtHome, type LoadQueryClientOptions, type LoadQuery, type WatcherQuestion, type WatcherReport } from './loadQueryClient.js'
+import type { LoadMessage, LoadRequest, ServerLoadReport } from './loadMessage.js'
+import { LoadQueryClient, type LevelAtHome, type LoadQueryClientOptions, type LoadQuery, type WatcherRequest, type WatcherReport } from './loadQueryClient.js'
 import { WatchedServerTable } from './watchedServerTable.js'
 import type { ServerLoadEntry } from './peerMessage.js'
 
@@ -65,7 +65,7 @@
     const { address, clock } = options
     this.queries = LoadQueryClient.create({
       ...options,
-      answerLocally: question => this.answerTo(question, address),
+      answerLocally: request => this.answerTo(request, address),
       isOwnDataComplete: () => clock.now() >= this.completeAt,
       onReport: report => this.applyWatcherReport(report)
     })
@@ -102,8 +102,8 @@
     const now = this.options.clock.now()
     switch (message.kind) {
       case DatagramKind.ServerLoadReport: this.applyReport(message, now); break
-      case DatagramKind.LoadQuestion: this.answer(message, now); break
-      case DatagramKind.LoadAnswer: this.queries.handleAnswer(message); break
+      case DatagramKind.LoadRequest: this.answer(message, now); break
+      case DatagramKind.LoadResponse: this.queries.handleResponse(message); break
     }
   }
 
@@ -144,14 +144,14 @@
   }
 
   /** A watcher that missed reports does not answer, rather than answer too little; the other watcher is queried instead. */
-  private answer (question: LoadQuestion, now: number): void {
+  private answer (request: LoadRequest, now: number): void {
     if (now >= this.completeAt) {
-      const { address, number } = question
-      this.options.send(address, { kind: DatagramKind.LoadAnswer, address: this.options.address, number, ...this.answerTo(question, address) })
+      const { address, number } = request
+      this.options.send(address, { kind: DatagramKind.LoadResponse, address: this.options.address, number, ...this.answerTo(request, address) })
     }
   }
 
-  private answerTo ({ servers, levels }: WatcherQuestion | LoadQuestion, requester: string): WatcherReport {
+  private answerTo ({ servers, levels }: WatcherRequest | LoadRequest, requester: string): WatcherReport {
     const now = this.options.clock.now()
     return {
       loads: servers.map(server => ({ server, ...this.watchedServers.sumOf(server, requester, now) })),
--- a/packages/foxtaillever-relay/src/peers/loadQueryClient.ts
+++ b/packages/foxtaillever-relay/src/peers/loadQueryClient.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from 'foxtaillever-core'
 import { DatagramKind } from './datagram.js'
-import type { LoadAnswer, LoadQuestion } from './loadMessage.js'
+import type { LoadResponse, LoadRequest } from './loadMessage.js'
 import { UnresponsivePeers } from './unresponsivePeers.js'
 
 /** A watcher answers from memory. The round trip takes at most 2.8 ms, and the event loop of a slow machine adds up to 10. */
@@ -27,13 +27,13 @@
 }
 
 /** The part of a query that goes to one watcher. */
-export interface WatcherQuestion {
+export interface WatcherRequest {
   readonly servers: number[]
   readonly levels: number[]
 }
 
 /** What a watcher knows about servers and levels. */
-export type WatcherReport = Pick<LoadAnswer, 'loads' | 'unreachable' | 'saved' | 'backingOff'>
+export type WatcherReport = Pick<LoadResponse, 'loads' | 'unreachable' | 'saved' | 'backingOff'>
 
 interface PendingQuery {
   readonly waiting: Set<string>
@@ -45,13 +45,13 @@
   readonly address: string
   /** Addresses of a server's watchers, by the server's hash. */
   readonly watchersOf: (server: number) => readonly string[]
-  readonly send: (address: string, question: LoadQuestion) => void
+  readonly send: (address: string, request: LoadRequest) => void
   /** Answers from what this instance knows as a watcher. */
-  readonly answerLocally: (question: WatcherQuestion) => WatcherReport
+  readonly answerLocally: (request: WatcherRequest) => WatcherReport
   /** Whether this instance has received every report that it should have as a watcher. */
   readonly isOwnDataComplete: () => boolean
   readonly onReport: (report: WatcherReport) => void
-  /** Called when a watcher did not answer several questions in a row. */
+  /** Called when a watcher did not answer several requests in a row. */
   readonly onUnresponsive: (address: string) => void
 }
 
@@ -74,20 +74,20 @@
    */
   async query ({ servers, level }: LoadQuery): Promise<ReadonlySet<number>> {
     const queried = new Set(level === undefined ? servers : [...servers, level.home])
-    const questions = this.plan(queried, level)
+    const requests = this.plan(queried, level)
     const { address, answerLocally, onReport } = this.options
-    const own = questions.get(address)
+    const own = requests.get(address)
     if (own) {
-      questions.delete(address)
+      requests.delete(address)
       onReport(answerLocally(own))
     }
-    if (questions.size > 0) {
-      await this.send(questions)
+    if (requests.size > 0) {
+      await this.send(requests)
     }
     return queried
   }
 
-  handleAnswer (answer: LoadAnswer): void {
+  handleResponse (answer: LoadResponse): void {
     const { address, number } = answer
     this.unresponsive.recordAnswer(address)
     this.options.onReport(answer)
@@ -98,31 +98,31 @@
     }
   }
 
-  /** Questions by the address of the watcher that gets them. */
-  private plan (servers: ReadonlySet<number>, level: LevelAtHome | undefined): Map<string, WatcherQuestion> {
-    const questions = new Map<string, WatcherQuestion>()
+  /** Requests by the address of the watcher that gets them. */
+  private plan (servers: ReadonlySet<number>, level: LevelAtHome | undefined): Map<string, WatcherRequest> {
+    const requests = new Map<string, WatcherRequest>()
     for (const server of servers) {
       const watcher = this.options.watchersOf(server).find(address => !this.isSkipped(address))
       if (watcher !== undefined) {
-        const question = questions.get(watcher) ?? { servers: [], levels: [] }
-        question.servers.push(server)
+        const request = requests.get(watcher) ?? { servers: [], levels: [] }
+        request.servers.push(server)
         if (server === level?.home) {
-          question.levels.push(level.level)
+          request.levels.push(level.level)
         }
-        questions.set(watcher, question)
+        requests.set(watcher, request)
       }
     }
-    return questions
+    return requests
   }
 
-  private async send (questions: ReadonlyMap<string, WatcherQuestion>): Promise<void> {
+  private async send (requests: ReadonlyMap<string, WatcherRequest>): Promise<void> {
     const { clock, address, send } = this.options
     const number = this.number++
-    const waiting = new Set(questions.keys())
+    const waiting = new Set(requests.keys())
     await new Promise<void>(resolve => {
       const cancel = clock.at(clock.now() + ANSWER_TIMEOUT_MS, () => this.expire(number))
       this.pending.set(number, { waiting, resolve: () => { cancel(); resolve() } })
-      questions.forEach((question, watcher) => send(watcher, { kind: DatagramKind.LoadQuestion, address, number, ...question }))
+      requests.forEach((request, watcher) => send(watcher, { kind: DatagramKind.LoadRequest, address, number, ...request }))
     })
   }
 
--- a/packages/foxtaillever-relay/src/peers/peerLink.ts
+++ b/packages/foxtaillever-relay/src/peers/peerLink.ts
@@ -70,8 +70,8 @@
     this.receiveHeartbeat = wire => { readPeerMessage(wire).ifJust(onMessage) }
     this.receivers = {
       [DatagramKind.ServerLoadReport]: receiveLoad,
-      [DatagramKind.LoadQuestion]: receiveLoad,
-      [DatagramKind.LoadAnswer]: receiveLoad,
+      [DatagramKind.LoadRequest]: receiveLoad,
+      [DatagramKind.LoadResponse]: receiveLoad,
       [DatagramKind.ReadNotice]: wire => { readReadNotice(wire).ifJust(onNotice) },
       [DatagramKind.Weights]: wire => { readWeightsNotice(wire).ifJust(onWeights) },
       [DatagramKind.LimitRequest]: receiveLimit,
--- a/packages/foxtaillever-relay/src/peers/unresponsivePeers.ts
+++ b/packages/foxtaillever-relay/src/peers/unresponsivePeers.ts
@@ -1,25 +1,25 @@
-/** Tracks instances that do not answer questions, so that they are skipped for a while. */
+/** Tracks instances that do not answer requests, so that they are skipped for a while. */
 import type { Clock } from 'foxtaillever-core'
 
-/** An instance that left this many questions in a row unanswered is skipped. */
+/** An instance that left this many requests in a row unanswered is skipped. */
 const MAX_UNANSWERED = 2
 
-/** Milliseconds for which an instance is skipped: the time a process takes to restart. Then one question checks whether it answers again. */
+/** Milliseconds for which an instance is skipped: the time a process takes to restart. Then one request checks whether it answers again. */
 const SKIP_MS = 3000
 
-interface UnansweredQuestions {
+interface UnansweredRequests {
   readonly unanswered: number
   readonly until: number
 }
 
 export interface UnresponsivePeersOptions {
   readonly clock: Clock
-  /** Called when an instance did not answer several questions in a row. */
+  /** Called when an instance did not answer several requests in a row. */
   readonly onUnresponsive: (address: string) => void
 }
 
 export class UnresponsivePeers {
-  private readonly unansweredByAddress = new Map<string, UnansweredQuestions>()
+  private readonly unansweredByAddress = new Map<string, UnansweredRequests>()
 
   private constructor (private readonly options: UnresponsivePeersOptions) {}
 
@@ -37,7 +37,7 @@
     this.unansweredByAddress.delete(address)
   }
 
-  /** Records that the instance did not answer a question in time. */
+  /** Records that the instance did not answer a request in time. */
   recordTimeout (address: string): void {
     const { clock, onUnresponsive } = this.options
     const unanswered = (this.unansweredByAddress.get(address)?.unanswered ?? 0) + 1
