--- a/packages/foxtaillever-relay/src/peers/datagram.ts
+++ b/packages/foxtaillever-relay/src/peers/datagram.ts
@@ -12,11 +12,11 @@
   ReadNotice = 1,
   Weights = 2,
   ServerLoadReport = 11,
-  LoadQuestion = 12,
-  LoadAnswer = 13,
-  LimitQuestion = 21,
-  LimitAnswer = 22,
-  LimitReturn = 23,
+  LoadRequest = 12,
+  LoadResponse = 13,
+  LimitRequest = 21,
+  LimitResponse = 22,
+  LimitRefund = 23,
   LimitRenewal = 24,
   LimitPromise = 25
 }
--- a/packages/foxtaillever-relay/src/peers/loadMessage.ts
+++ b/packages/foxtaillever-relay/src/peers/loadMessage.ts
@@ -1,15 +1,15 @@
 /** Datagrams with which instances of a large fleet report and query load: positional arrays, servers by hash. */
 import { Maybe } from 'purify-ts'
 import { DatagramKind, packDatagram } from './datagram.js'
-import type { ServerUse } from './peerMessage.js'
+import type { ServerLoadEntry } from './peerMessage.js'
 
-export type LoadMessageKind = DatagramKind.ServerLoadReport | DatagramKind.LoadQuestion | DatagramKind.LoadAnswer
+export type LoadMessageKind = DatagramKind.ServerLoadReport | DatagramKind.LoadRequest | DatagramKind.LoadResponse
 
 /** Load that the sender puts on servers that the receiver watches; replaces its earlier reports on these servers. */
 export interface ServerLoadReport {
   readonly kind: DatagramKind.ServerLoadReport
   readonly address: string
-  readonly loads: readonly ServerUse[]
+  readonly loads: readonly ServerLoadEntry[]
   /** Servers that recently accepted no connection from the sender. */
   readonly unreachable: readonly number[]
   /** Prompt levels that the sender had saved to their store; their home is a server that the receiver watches. */
@@ -19,8 +19,8 @@
 }
 
 /** Asks for the load that all other instances put on these servers. */
-export interface LoadQuestion {
-  readonly kind: DatagramKind.LoadQuestion
+export interface LoadRequest {
+  readonly kind: DatagramKind.LoadRequest
   readonly address: string
   readonly number: number
   readonly servers: readonly number[]
@@ -28,11 +28,11 @@
   readonly levels: readonly number[]
 }
 
-export interface LoadAnswer {
-  readonly kind: DatagramKind.LoadAnswer
+export interface LoadResponse {
+  readonly kind: DatagramKind.LoadResponse
   readonly address: string
   readonly number: number
-  readonly loads: readonly ServerUse[]
+  readonly loads: readonly ServerLoadEntry[]
   /** The servers among these that several instances recently could not reach. */
   readonly unreachable: readonly number[]
   /** The levels among these that were saved recently. */
@@ -41,27 +41,27 @@
   readonly backingOff: readonly number[]
 }
 
-export type LoadMessage = ServerLoadReport | LoadQuestion | LoadAnswer
+export type LoadMessage = ServerLoadReport | LoadRequest | LoadResponse
 
 type WireLoad = readonly [number, number, number, number]
 
-const packLoad = ({ server, outstanding, tokens, heldTokens }: ServerUse): WireLoad => [server, outstanding, tokens, heldTokens]
+const packLoad = ({ server, outstanding, tokens, heldTokens }: ServerLoadEntry): WireLoad => [server, outstanding, tokens, heldTokens]
 const readNumbers = (wire: unknown = []): number[] => (wire as unknown[]).map(Number)
-const readLoad = ([server, outstanding, tokens, heldTokens]: WireLoad): ServerUse => ({ server, outstanding, tokens, heldTokens })
+const readLoad = ([server, outstanding, tokens, heldTokens]: WireLoad): ServerLoadEntry => ({ server, outstanding, tokens, heldTokens })
 
 export function encodeLoadMessage (message: LoadMessage): Buffer {
   const { kind, address } = message
   switch (kind) {
     case DatagramKind.ServerLoadReport: return packDatagram([kind, address, message.loads.map(packLoad), message.unreachable, message.saved, message.backingOff])
-    case DatagramKind.LoadQuestion: return packDatagram([kind, address, message.number, message.servers, message.levels])
-    case DatagramKind.LoadAnswer: return packDatagram([kind, address, message.number, message.loads.map(packLoad), message.unreachable, message.saved, message.backingOff])
+    case DatagramKind.LoadRequest: return packDatagram([kind, address, message.number, message.servers, message.levels])
+    case DatagramKind.LoadResponse: return packDatagram([kind, address, message.number, message.loads.map(packLoad), message.unreachable, message.saved, message.backingOff])
   }
 }
 
 const readers: Readonly<Record<LoadMessageKind, (address: string, rest: readonly unknown[]) => LoadMessage>> = {
   [DatagramKind.ServerLoadReport]: (address, [loads, unreachable, saved, backingOff]) => ({ kind: DatagramKind.ServerLoadReport, address, loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), backingOff: readNumbers(backingOff) }),
-  [DatagramKind.LoadQuestion]: (address, [number, servers, levels]) => ({ kind: DatagramKind.LoadQuestion, address, number: Number(number), servers: readNumbers(servers), levels: readNumbers(levels) }),
-  [DatagramKind.LoadAnswer]: (address, [number, loads, unreachable, saved, backingOff]) => ({ kind: DatagramKind.LoadAnswer, address, number: Number(number), loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), backingOff: readNumbers(backingOff) })
+  [DatagramKind.LoadRequest]: (address, [number, servers, levels]) => ({ kind: DatagramKind.LoadRequest, address, number: Number(number), servers: readNumbers(servers), levels: readNumbers(levels) }),
+  [DatagramKind.LoadResponse]: (address, [number, loads, unreachable, saved, backingOff]) => ({ kind: DatagramKind.LoadResponse, address, number: Number(number), loads: (loads as WireLoad[]).map(readLoad), unreachable: readNumbers(unreachable), saved: readNumbers(saved), backingOff: readNumbers(backingOff) })
 }
 
 /** Nothing for a datagram of another form. */
--- a/packages/foxtaillever-relay/src/peers/peerLink.ts
+++ b/packages/foxtaillever-relay/src/peers/peerLink.ts
@@ -70,13 +70,13 @@
     this.receiveHeartbeat = wire => { readPeerMessage(wire).ifJust(onMessage) }
     this.receivers = {
       [DatagramKind.ServerLoadReport]: receiveLoad,
-      [DatagramKind.LoadQuestion]: receiveLoad,
-      [DatagramKind.LoadAnswer]: receiveLoad,
+      [DatagramKind.LoadRequest]: receiveLoad,
+      [DatagramKind.LoadResponse]: receiveLoad,
       [DatagramKind.ReadNotice]: wire => { readReadNotice(wire).ifJust(onNotice) },
       [DatagramKind.Weights]: wire => { readWeightsNotice(wire).ifJust(onWeights) },
-      [DatagramKind.LimitQuestion]: receiveLimit,
-      [DatagramKind.LimitAnswer]: receiveLimit,
-      [DatagramKind.LimitReturn]: receiveLimit,
+      [DatagramKind.LimitRequest]: receiveLimit,
+      [DatagramKind.LimitResponse]: receiveLimit,
+      [DatagramKind.LimitRefund]: receiveLimit,
       [DatagramKind.LimitRenewal]: receiveLimit,
       [DatagramKind.LimitPromise]: receiveLimit
     }
