--- a/packages/foxtaillever-standins/src/plain/plainModel.ts
+++ b/packages/foxtaillever-standins/src/plain/plainModel.ts
@@ -1,19 +1,19 @@
-/** Model of a plain service: it counts exports, which may not be repeated, and can be slow, fail or lose answers. */
+/** Model of a plain service: it counts exports, which must not be repeated, and can be slow, fail or lose answers. */
 import { Failure, FailureCode, Verdict } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
 
-/** Faults that are switched at run time. */
+/** Faults that can be set at run time. */
 export interface PlainFaults {
-  /** Added to each answer, milliseconds. */
+  /** Delay of each answer, milliseconds. */
   slownessMs: number
-  /** The next calls that fail without effect. */
+  /** How many of the next calls fail without effect. */
   failures: number
-  /** The next exports whose answer is lost after the effect. */
+  /** How many of the next exports take effect but lose their answer. */
   lostAnswers: number
 }
 
 export class PlainModel {
-  /** Runs by idempotency key of the export. */
+  /** Number of runs of each export, by its idempotency key. */
   readonly exports = new Map<string, number>()
   lookups = 0
   readonly faults: PlainFaults = { slownessMs: 0, failures: 0, lostAnswers: 0 }
@@ -29,15 +29,15 @@
   }
 
   lookUp (id: string): Either<Failure, object> {
-    return this.fail().map(() => {
+    return this.consumeFailure().map(() => {
       this.lookups += 1
       return { citation: id }
     })
   }
 
-  /** Runs an export; its effect stays also when the answer is lost. */
+  /** Runs an export; it takes effect even if the answer is lost. */
   export (key: string): Either<Failure, object> {
-    return this.fail().chain(() => {
+    return this.consumeFailure().chain(() => {
       this.exports.set(key, (this.exports.get(key) ?? 0) + 1)
       if (this.faults.lostAnswers === 0) {
         return Right({ exported: key })
@@ -47,7 +47,7 @@
     })
   }
 
-  private fail (): Either<Failure, void> {
+  private consumeFailure (): Either<Failure, void> {
     if (this.faults.failures === 0) {
       return Right(undefined)
     }
--- a/packages/foxtaillever-standins/src/plain/plainServer.ts
+++ b/packages/foxtaillever-standins/src/plain/plainServer.ts
@@ -1,6 +1,6 @@
 /**
- * A plain service beside the engines: lookups that may be repeated and exports
- * that may not.
+ * A plain service beside the engines: lookups may be repeated, exports must
+ * not be.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import fastify, { type FastifyInstance, type FastifyReply } from 'fastify'
@@ -11,11 +11,11 @@
 export interface PlainServer {
   readonly server: FastifyInstance
   readonly model: PlainModel
-  /** Runs by idempotency key of the export. */
+  /** Number of runs of each export, by its idempotency key. */
   readonly exports: Map<string, number>
 }
 
-function fail (reply: FastifyReply, failure: Failure): FastifyReply {
+function sendFailure (reply: FastifyReply, failure: Failure): FastifyReply {
   if (failure.verdict !== Verdict.NotRun) {
     reply.hijack()
     reply.raw.destroy()
@@ -29,7 +29,7 @@
   const server = fastify({ forceCloseConnections: true })
   const answer = async (reply: FastifyReply, call: () => Either<Failure, object>): Promise<unknown> => {
     await sleep(model.faults.slownessMs)
-    return call().caseOf<unknown>({ Left: failure => fail(reply, failure), Right: body => body })
+    return call().caseOf<unknown>({ Left: failure => sendFailure(reply, failure), Right: body => body })
   }
   server.get<{ Params: { id: string } }>('/citations/:id', async (request, reply) => {
     return await answer(reply, () => model.lookUp(request.params.id))
