--- a/packages/foxtaillever-standins/src/answer.ts
+++ b/packages/foxtaillever-standins/src/answer.ts
@@ -1,16 +1,16 @@
 /**
- * The answer of a stand-in engine: a function of the prompt alone, so that a
- * caller can check that an answer is whole, in order and its own.
+ * The answer of a stand-in engine depends on the prompt alone, so that a caller
+ * can check that an answer is complete, in order and belongs to its prompt.
  */
 import { hashNumber } from 'foxtaillever-core'
 import { hashText } from 'foxtaillever-core/hashPrompt'
 
-/** What every token of the answer to a prompt is derived from. */
+/** Key from which every token of the answer to a prompt is derived. */
 export function answerKey (prompt: string): string {
   return hashText(prompt)
 }
 
-/** Token number `index`, counted from 1. */
+/** The token at `index`, counted from 1. */
 export function answerToken (key: string, index: number): string {
   return ` ${hashNumber(`${key}/${index}`).toString(36)}`
 }
--- a/packages/foxtaillever-standins/src/index.ts
+++ b/packages/foxtaillever-standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the stand-ins. */
+/** Public API of the stand-ins. */
 export * from './answer.js'
 export * from './engine/batch.js'
 export * from './engine/blockCache.js'
--- a/packages/foxtaillever-standins/src/main.ts
+++ b/packages/foxtaillever-standins/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The stand-ins as one binary with a subcommand for each outside system. */
+/** The stand-ins as one binary with a subcommand for each external system. */
 import { Builtins, Cli } from 'clipanion'
 import { EngineCommand } from './commands/engine.js'
 import { InstanceListCommand } from './commands/instanceList.js'
