--- a/packages/foxtaillever-standins/src/commands/engine.ts
+++ b/packages/foxtaillever-standins/src/commands/engine.ts
@@ -39,31 +39,31 @@
   private options (): EngineOptions {
     return {
       name: this.name,
-      models: split(this.models),
+      models: splitList(this.models),
       weightsVersion: this.weights,
-      adapters: split(this.adapters),
+      adapters: splitList(this.adapters),
       role: EngineRole.Mixed,
-      slots: this.number('--slots', this.slots, 1),
-      prefillTokensPerSecond: this.number('--prefill-tokens-per-second', this.prefill, 1),
-      decodeTokensPerSecond: this.number('--decode-tokens-per-second', this.decode, 1),
-      cacheTokens: this.number('--cache-tokens', this.cache),
-      cacheKeptMs: this.number('--cache-kept-ms', this.kept),
-      eventLagMs: this.number('--event-lag-ms', this.eventLag),
-      loadLagMs: this.number('--load-lag-ms', this.loadLag),
+      slots: this.parseNumber('--slots', this.slots, 1),
+      prefillTokensPerSecond: this.parseNumber('--prefill-tokens-per-second', this.prefill, 1),
+      decodeTokensPerSecond: this.parseNumber('--decode-tokens-per-second', this.decode, 1),
+      cacheTokens: this.parseNumber('--cache-tokens', this.cache),
+      cacheKeptMs: this.parseNumber('--cache-kept-ms', this.kept),
+      eventLagMs: this.parseNumber('--event-lag-ms', this.eventLag),
+      loadLagMs: this.parseNumber('--load-lag-ms', this.loadLag),
       checksFencing: this.checksFencing,
-      ...(this.trustedCallers === undefined ? {} : { trustedCallers: split(this.trustedCallers) })
+      ...(this.trustedCallers === undefined ? {} : { trustedCallers: splitList(this.trustedCallers) })
     }
   }
 
   private surroundings (): EngineSurroundings {
     return {
-      random: SeededRandom.create(this.number('--seed', this.seed)),
+      random: SeededRandom.create(this.parseNumber('--seed', this.seed)),
       ...(this.weightStore === undefined ? {} : { weightStore: connectWeightStore(this.weightStore) }),
       ...(this.keptCacheStore === undefined ? {} : { keptCacheStore: connectKeptCacheStore(this.keptCacheStore) })
     }
   }
 }
 
-function split (list: string): string[] {
+function splitList (list: string): string[] {
   return list.split(',').filter(entry => entry !== '')
 }
--- a/packages/foxtaillever-standins/src/commands/instanceList.ts
+++ b/packages/foxtaillever-standins/src/commands/instanceList.ts
@@ -14,7 +14,7 @@
   lag = Option.String('--lag-ms', '1500', { description: 'How old the list is, milliseconds.' })
 
   async execute (): Promise<void> {
-    const model = InstanceListModel.create(this.number('--lag-ms', this.lag), SystemClock.create())
+    const model = InstanceListModel.create(this.parseNumber('--lag-ms', this.lag), SystemClock.create())
     await this.serve('instance-list', createInstanceListServer(model))
   }
 }
--- a/packages/foxtaillever-standins/src/commands/keptCacheStore.ts
+++ b/packages/foxtaillever-standins/src/commands/keptCacheStore.ts
@@ -13,7 +13,7 @@
   capacity = Option.String('--capacity-tokens', '4000000', { description: 'Room for kept blocks, tokens.' })
 
   async execute (): Promise<void> {
-    const model = KeptCacheStoreModel.create(this.number('--capacity-tokens', this.capacity, 1))
+    const model = KeptCacheStoreModel.create(this.parseNumber('--capacity-tokens', this.capacity, 1))
     await this.serve('kept-cache-store', createKeptCacheStoreServer(model))
   }
 }
--- a/packages/foxtaillever-standins/src/commands/log.ts
+++ b/packages/foxtaillever-standins/src/commands/log.ts
@@ -16,8 +16,8 @@
 
   async execute (): Promise<void> {
     const clock = SystemClock.create()
-    const retentionMs = this.number('--retention-ms', this.retention, 1)
-    const appendsPerSecond = this.number('--appends-per-second', this.rate, 1)
+    const retentionMs = this.parseNumber('--retention-ms', this.retention, 1)
+    const appendsPerSecond = this.parseNumber('--appends-per-second', this.rate, 1)
     const model = LogModel.create({ retentionMs, appendsPerSecond }, clock)
     await this.serve('log', createLogServer(model, clock))
   }
--- a/packages/foxtaillever-standins/src/commands/standinCommand.ts
+++ b/packages/foxtaillever-standins/src/commands/standinCommand.ts
@@ -1,19 +1,19 @@
 /**
- * What the subcommands share: where to listen, checked numbers, serving until
- * told to stop. Exit codes: 0 stopped by a signal, 1 settings refused or the
- * port could not be had.
+ * Base of the subcommands: the address to listen on, validation of numeric
+ * options, and serving until a signal arrives. Exit codes: 0 stopped by a signal,
+ * 1 invalid options or the port could not be opened.
  */
 import { Command, Option, UsageError } from 'clipanion'
 import type { FastifyInstance } from 'fastify'
 
-const LARGEST_PORT = 65_535
+const MAX_PORT = 65_535
 
 export abstract class StandinCommand extends Command {
   host = Option.String('--host', '127.0.0.1', { description: 'IP number to listen on.' })
   portOption = Option.String('--port', '0', { description: 'Port to listen on; 0 lets the system choose.' })
 
-  /** Reads a number from a setting, or refuses it with a message that names the setting. */
-  protected number (setting: string, text: string, smallest = 0, largest = Number.MAX_SAFE_INTEGER): number {
+  /** Parses a numeric option; throws an error that names the option if it is not a number in range. */
+  protected parseNumber (setting: string, text: string, smallest = 0, largest = Number.MAX_SAFE_INTEGER): number {
     const value = Number(text)
     if (text.trim() === '' || !Number.isFinite(value) || value < smallest || value > largest) {
       throw new UsageError(`${setting} must be a number from ${smallest} to ${largest}, not "${text}".`)
@@ -21,9 +21,9 @@
     return value
   }
 
-  /** Listens, prints the address and serves until told to stop. */
+  /** Listens, prints the address and serves until SIGTERM or SIGINT. */
   protected async serve (name: string, server: FastifyInstance): Promise<void> {
-    const port = this.number('--port', this.portOption, 0, LARGEST_PORT)
+    const port = this.parseNumber('--port', this.portOption, 0, MAX_PORT)
     const address = await server.listen({ host: this.host, port })
     this.context.stdout.write(`${name} listens on ${address}\n`)
     await new Promise<void>(resolve => {
