--- a/packages/foxtaillever-standins/src/__tests__/engineModel.test.ts
+++ b/packages/foxtaillever-standins/src/__tests__/engineModel.test.ts
@@ -1,7 +1,7 @@
 /** The stand-in engine, run in virtual time. */
 import { Failure, OrderKind, SeededRandom, Verdict, type StreamEnd, type StreamStart } from 'foxtaillever-core'
 import { describe, it, VirtualClock } from 'foxtaillever-testing'
-import { EngineModel, type EngineSurroundings } from '../engine/engineModel.js'
+import { EngineModel, type EngineDependencies } from '../engine/engineModel.js'
 import type { EngineOptions, Generation, StreamSink } from '../engine/generation.js'
 import { KeptCacheStoreModel } from '../platform/keptCacheStoreModel.js'
 import { WeightStoreModel } from '../platform/weightStoreModel.js'
@@ -42,7 +42,7 @@
   failed (failure: Failure): void { this.failure = failure }
 }
 
-function createEngine (changes: Partial<EngineOptions> = {}, surroundings: EngineSurroundings = {}): { clock: VirtualClock, engine: EngineModel } {
+function createEngine (changes: Partial<EngineOptions> = {}, surroundings: EngineDependencies = {}): { clock: VirtualClock, engine: EngineModel } {
   const clock = VirtualClock.create()
   return { clock, engine: EngineModel.create({ ...options, ...changes }, clock, surroundings) }
 }
--- a/packages/foxtaillever-standins/src/commands/engine.ts
+++ b/packages/foxtaillever-standins/src/commands/engine.ts
@@ -1,6 +1,6 @@
 import { Command, Option } from 'clipanion'
 import { EngineRole, SeededRandom, SystemClock } from 'foxtaillever-core'
-import { EngineModel, type EngineSurroundings } from '../engine/engineModel.js'
+import { EngineModel, type EngineDependencies } from '../engine/engineModel.js'
 import { createEngineServer } from '../engine/engineServer.js'
 import type { EngineOptions } from '../engine/generation.js'
 import { connectKeptCacheStore } from '../platform/keptCacheStoreServer.js'
@@ -32,7 +32,7 @@
   seed = Option.String('--seed', '1', { description: 'Seed of the losses of cache events.' })
 
   async execute (): Promise<void> {
-    const model = EngineModel.create(this.options(), SystemClock.create(), this.surroundings())
+    const model = EngineModel.create(this.options(), SystemClock.create(), this.dependencies())
     await this.serve(this.name, createEngineServer(model))
   }
 
@@ -55,7 +55,7 @@
     }
   }
 
-  private surroundings (): EngineSurroundings {
+  private dependencies (): EngineDependencies {
     return {
       random: SeededRandom.create(this.parseNumber('--seed', this.seed)),
       ...(this.weightStore === undefined ? {} : { weightStore: connectWeightStore(this.weightStore) }),
--- a/packages/foxtaillever-standins/src/engine/batch.ts
+++ b/packages/foxtaillever-standins/src/engine/batch.ts
@@ -1,7 +1,7 @@
 /**
- * Continuous batching: a limit on streams at once, prefill in chunks, one token
- * a stream and step. It owns the prefix cache and tells what happened; the
- * engine model decides what that means.
+ * Continuous batching: a limited number of concurrent streams, prefill in chunks,
+ * one token per stream and step. It updates the prefix cache and notifies a
+ * listener, which handles each event for the engine model.
  */
 import type { Clock, StreamStart } from 'foxtaillever-core'
 import { answerToken } from '../answer.js'
@@ -9,19 +9,19 @@
 import type { EngineFaults } from './engineFaults.js'
 import type { EngineOptions, Stream } from './generation.js'
 
-/** Prompt tokens prefilled in one step at most; longer prompts take several steps. */
+/** Maximum number of prompt tokens prefilled in one step; longer prompts take several steps. */
 const PREFILL_CHUNK_TOKENS = 2048
 
 export interface BatchListener {
-  /** The stream leaves the queue; returns what its caller is told. */
+  /** The stream leaves the queue; returns the start event for its caller. */
   started: (stream: Stream, cachedTokens: number) => StreamStart
-  /** Blocks that the cache did not hold before. */
+  /** Blocks were added that the cache did not hold before. */
   stored: (stream: Stream, blocks: readonly string[]) => void
   evicted: (blocks: readonly string[]) => void
-  /** A token went out. */
+  /** A token was sent. */
   produced: (stream: Stream) => void
   finished: (stream: Stream) => void
-  /** A step ended; true when the engine has crashed of it. */
+  /** A step ended; returns true if the step crashed the engine. */
   stepped: (streams: readonly Stream[]) => boolean
 }
 
@@ -30,7 +30,7 @@
   private running: Stream[] = []
   private stepping = false
   private nextStepAt = 0
-  private generation = 0
+  private epoch = 0
 
   private constructor (
     private readonly options: EngineOptions,
@@ -46,7 +46,7 @@
 
   add (stream: Stream): void {
     this.waiting.push(stream)
-    this.waiting.sort((one, other) => one.generation.priority - other.generation.priority || one.order - other.order)
+    this.waiting.sort((a, b) => a.generation.priority - b.generation.priority || a.order - b.order)
     this.wake()
   }
 
@@ -55,13 +55,13 @@
     this.running = this.running.filter(other => other !== stream)
   }
 
-  /** Empties the batch and returns what was in it; a step under way comes to nothing. */
+  /** Empties the batch and returns its streams; a step in progress has no effect. */
   clear (): Stream[] {
     const lost = [...this.running, ...this.waiting]
     this.waiting = []
     this.running = []
     this.stepping = false
-    this.generation += 1
+    this.epoch += 1
     return lost
   }
 
@@ -83,7 +83,7 @@
     return [...this.waiting, ...this.running].reduce((sum, stream) => sum + uncached(stream), 0)
   }
 
-  /** Begins to step unless it does so already or the engine is frozen. */
+  /** Starts stepping unless a step is already scheduled or the engine is frozen. */
   wake (): void {
     if (this.stepping || this.faults.frozen) {
       return
@@ -93,9 +93,9 @@
     this.scheduleStep()
   }
 
-  /** Plans a step from the batch as it is now; its results come when it ends. */
+  /** Plans a step for the current batch; its results are applied when it ends. */
   private scheduleStep (): void {
-    this.fill()
+    this.startWaitingStreams()
     if (this.running.length === 0 || this.faults.frozen) {
       this.stepping = false
       return
@@ -104,14 +104,14 @@
     const decodeMs = 1000 / this.options.decodeTokensPerSecond * this.faults.slowFactor
     const prefillMs = prefill.tokens / this.options.prefillTokensPerSecond * 1000 * this.faults.slowFactor
     const stepMs = decodeMs + prefillMs
-    // A timer that fires late is caught up by at most one step.
+    // After a late timer, the schedule catches up by at most one step.
     this.nextStepAt = Math.max(this.nextStepAt, this.clock.now() - decodeMs) + stepMs
-    const generation = this.generation
+    const generation = this.epoch
     this.clock.at(this.nextStepAt, () => this.endPlannedStep(generation, prefill.streams))
   }
 
   private endPlannedStep (generation: number, prefilled: Map<Stream, number>): void {
-    if (generation !== this.generation) {
+    if (generation !== this.epoch) {
       return
     }
     if (this.faults.frozen) {
@@ -124,7 +124,7 @@
     }
   }
 
-  private fill (): void {
+  private startWaitingStreams (): void {
     while (this.running.length < this.options.slots) {
       const stream = this.waiting.shift()
       if (!stream) {
--- a/packages/foxtaillever-standins/src/engine/blockCache.ts
+++ b/packages/foxtaillever-standins/src/engine/blockCache.ts
@@ -1,7 +1,7 @@
 /**
- * Prefix cache of a stand-in engine: blocks chained by hash, kept apart by
- * account, model and weights, limited in number, evicted least recently used
- * first and in any case some seconds after their last use.
+ * Prefix cache of a stand-in engine: blocks chained by hash, isolated by account,
+ * model and weights, limited in number, evicted least recently used first and at
+ * the latest a fixed time after their last use.
  */
 import { CHARACTERS_PER_TOKEN } from 'foxtaillever-core'
 import { hashText } from 'foxtaillever-core/hashPrompt'
@@ -10,7 +10,7 @@
 const BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN
 
 export class BlockCache {
-  /** Block hash to the instant until which it is kept; oldest use first. */
+  /** Expiry time by block hash; least recently used first. */
   private readonly blocks = new Map<string, number>()
 
   private constructor (private readonly capacityBlocks: number, private readonly keptMs: number) {}
@@ -19,7 +19,7 @@
     return new BlockCache(Math.floor(capacityTokens / BLOCK_TOKENS), keptMs)
   }
 
-  /** Chained hashes of the prompt's whole blocks. */
+  /** Chained hashes of the prompt's complete blocks. */
   static chain (salt: string, text: string): string[] {
     const hashes: string[] = []
     let previous = salt
@@ -30,7 +30,7 @@
     return hashes
   }
 
-  /** Length of the cached prefix, tokens; its blocks count as used. */
+  /** Length of the cached prefix, tokens; marks its blocks as used. */
   match (chain: readonly string[], now: number): number {
     let matched = 0
     for (const hash of chain) {
@@ -44,7 +44,7 @@
     return matched * BLOCK_TOKENS
   }
 
-  /** Keeps the blocks; returns the hashes that are new here. */
+  /** Adds or renews blocks; returns the hashes that were not cached before. */
   insert (chain: readonly string[], now: number): string[] {
     const added: string[] = []
     for (const hash of chain) {
@@ -56,7 +56,7 @@
     return added
   }
 
-  /** Drops what is too old or too much; returns the hashes dropped. */
+  /** Drops expired blocks and those over capacity; returns their hashes. */
   evict (now: number): string[] {
     const dropped: string[] = []
     for (const [hash, until] of this.blocks) {
--- a/packages/foxtaillever-standins/src/engine/cacheEventFeed.ts
+++ b/packages/foxtaillever-standins/src/engine/cacheEventFeed.ts
@@ -1,12 +1,12 @@
 /**
- * The feed of an engine's cache events: numbered within an incarnation, late by
- * a lag, some lost. Only the newest are kept.
+ * Feed of an engine's cache events: numbered within an incarnation, delayed by a
+ * lag, some lost. Only the newest are kept.
  */
 import type { CacheEvent, CacheEventPage, Clock, Random } from 'foxtaillever-core'
 import type { EngineFaults } from './engineFaults.js'
 
-/** Events kept for readers that come late. */
-const EVENTS_KEPT = 4096
+/** Maximum number of events kept for late readers. */
+const MAX_EVENTS = 4096
 
 interface Published {
   readonly visibleAt: number
@@ -23,7 +23,7 @@
     return new CacheEventFeed(clock, random, faults)
   }
 
-  /** Begins anew with an incarnation. */
+  /** Clears the feed for a new incarnation. */
   restart (): void {
     this.published = []
     this.sequence = 0
@@ -36,8 +36,8 @@
     }
     const madeAt = this.clock.now()
     this.published.push({ visibleAt: madeAt + this.faults.eventLagMs, event: { ...event, sequence: this.sequence, madeAt } })
-    if (this.published.length > EVENTS_KEPT) {
-      this.published = this.published.slice(-EVENTS_KEPT / 2)
+    if (this.published.length > MAX_EVENTS) {
+      this.published = this.published.slice(-MAX_EVENTS / 2)
     }
   }
 
--- a/packages/foxtaillever-standins/src/engine/engineFaults.ts
+++ b/packages/foxtaillever-standins/src/engine/engineFaults.ts
@@ -1,12 +1,12 @@
-/** Faults of a stand-in engine, switched at run time. */
+/** Faults of a stand-in engine that can be set at run time. */
 export interface EngineFaults {
-  /** A prompt that holds this text crashes the engine that runs it; empty for none. */
+  /** A prompt that contains this text crashes the engine; empty for none. */
   poisonMarker: string
-  /** How many times slower each step is; 1 for none. */
+  /** Factor by which each step is slower; 1 for normal speed. */
   slowFactor: number
-  /** Nothing moves, yet connections stay open. */
+  /** The engine makes no progress, but connections stay open. */
   frozen: boolean
-  /** The next streams that are cut after some tokens; the engine keeps them for a resume. */
+  /** How many of the next streams are cut after some tokens; the engine keeps them for a resume. */
   cutStreams: number
   /** Tokens after which a stream is cut. */
   cutAfterTokens: number
@@ -14,7 +14,7 @@
   lostEventShare: number
   eventLagMs: number
   loadLagMs: number
-  /** How long a crashed engine is away before it comes back empty, milliseconds. */
+  /** How long a crashed engine is down before it restarts empty, milliseconds. */
   restartMs: number
 }
 
--- a/packages/foxtaillever-standins/src/engine/engineListener.ts
+++ b/packages/foxtaillever-standins/src/engine/engineListener.ts
@@ -1,4 +1,4 @@
-/** What a stand-in engine does about what happens in its batch: events, counts, faults. */
+/** Handles batch events for a stand-in engine: publishes cache events, counts runs, injects faults. */
 import type { CacheIdentity, StreamStart } from 'foxtaillever-core'
 import { CacheEventKind, Failure, FailureCode, Verdict } from 'foxtaillever-core'
 import type { BatchListener } from './batch.js'
@@ -41,7 +41,7 @@
     this.parts.events.publish({ kind: CacheEventKind.Evicted, identity: this.parts.identityOf(undefined), requestId: '', blocks })
   }
 
-  /** Cuts the connection of a stream where that fault is switched on; the stream goes on unseen. */
+  /** Cuts the connection of a stream if that fault is set; the stream keeps running. */
   produced (stream: Stream): void {
     const { faults } = this.parts
     const isDue = stream.produced - stream.generation.continueAfter === faults.cutAfterTokens
--- a/packages/foxtaillever-standins/src/engine/engineModel.ts
+++ b/packages/foxtaillever-standins/src/engine/engineModel.ts
@@ -1,7 +1,7 @@
 /**
  * Model of a model engine: streams over a batch with a prefix cache, identity
  * checks, cancel and resume, load reports with a lag, cache events, orders, kept
- * cache and faults. It knows no network; a server puts it on a socket.
+ * cache and faults. It does no networking; the engine server exposes it over HTTP.
  */
 import {
   estimateTokens, Failure, FailureCode, SeededRandom, Verdict,
@@ -17,62 +17,62 @@
 import { createEngineFaults, type EngineFaults } from './engineFaults.js'
 import { EngineListener } from './engineListener.js'
 import type { EngineOptions, Generation, Stream, StreamSink } from './generation.js'
-import { KeptCacheDesk } from './keptCacheDesk.js'
+import { KeptCacheTransfer } from './keptCacheTransfer.js'
 import { LaggedValue } from './laggedValue.js'
-import { OrderDesk, type OrderCall } from './orderDesk.js'
+import { OrderQueue, type OrderCall } from './orderQueue.js'
 import { RunCounts } from './runCounts.js'
 import { StreamTable } from './streamTable.js'
 import { Weights } from './weights.js'
 
-/** What an engine stands among; each part is made anew where none is given. */
-export interface EngineSurroundings {
+/** Dependencies of an engine; each one that is not given is created. */
+export interface EngineDependencies {
   readonly random?: Random
   readonly weightStore?: WeightStore
   readonly keptCacheStore?: KeptCacheStore
 }
 
-/** Room of a kept-cache store that belongs to one engine alone, tokens. */
-const OWN_STORE_TOKENS = 1_000_000
+/** Capacity of a kept-cache store that only one engine uses, tokens. */
+const PRIVATE_STORE_TOKENS = 1_000_000
 
 export class EngineModel {
   readonly faults: EngineFaults
-  /** What ran here over all incarnations, for oracles. */
+  /** Runs of each request over all incarnations; for test oracles. */
   readonly counts = RunCounts.create()
   private readonly cache: BlockCache
   private readonly streams: StreamTable
   private readonly batch: Batch
   private readonly events: CacheEventFeed
-  private readonly orders: OrderDesk
-  private readonly kept: KeptCacheDesk
+  private readonly orders: OrderQueue
+  private readonly keptCache: KeptCacheTransfer
   private readonly reports: LaggedValue<LoadReport>
   private readonly weights: Weights
-  private order = 0
+  private nextOrder = 0
   private leaving = false
   private incarnationNumber = 0
   private incarnation: string
   private downUntil = 0
   private crashListener: (restartAt: number) => void = () => {}
 
-  private constructor (readonly options: EngineOptions, private readonly clock: Clock, surroundings: EngineSurroundings) {
+  private constructor (readonly options: EngineOptions, private readonly clock: Clock, dependencies: EngineDependencies) {
     this.faults = createEngineFaults(options.eventLagMs, options.loadLagMs)
     this.cache = BlockCache.create(options.cacheTokens, options.cacheKeptMs)
     this.weights = Weights.create(options)
     this.streams = StreamTable.create(clock)
-    this.events = CacheEventFeed.create(clock, surroundings.random ?? SeededRandom.create(1), this.faults)
+    this.events = CacheEventFeed.create(clock, dependencies.random ?? SeededRandom.create(1), this.faults)
     this.batch = Batch.create(options, clock, this.cache, this.faults, this.createListener())
-    const desk = { checksFencing: options.checksFencing ?? false, trustedCallers: options.trustedCallers }
-    this.orders = OrderDesk.create(desk, clock, surroundings.weightStore ?? WeightStoreModel.create(clock), order => this.apply(order))
-    this.kept = KeptCacheDesk.create(this.cache, clock, surroundings.keptCacheStore ?? KeptCacheStoreModel.create(OWN_STORE_TOKENS))
+    const orderOptions = { checksFencing: options.checksFencing ?? false, trustedCallers: options.trustedCallers }
+    this.orders = OrderQueue.create(orderOptions, clock, dependencies.weightStore ?? WeightStoreModel.create(clock), order => this.apply(order))
+    this.keptCache = KeptCacheTransfer.create(this.cache, clock, dependencies.keptCacheStore ?? KeptCacheStoreModel.create(PRIVATE_STORE_TOKENS))
     this.reports = LaggedValue.create(clock)
-    this.incarnation = this.drawIncarnation()
+    this.incarnation = this.createIncarnation()
     this.sampleLoad()
   }
 
-  static create (options: EngineOptions, clock: Clock, surroundings: EngineSurroundings = {}): EngineModel {
-    return new EngineModel(options, clock, surroundings)
+  static create (options: EngineOptions, clock: Clock, dependencies: EngineDependencies = {}): EngineModel {
+    return new EngineModel(options, clock, dependencies)
   }
 
-  /** How many times each request began to run here, for oracles. */
+  /** How many times each request started to run here; for test oracles. */
   get runs (): Map<string, number> {
     return this.counts.byRequest
   }
@@ -83,19 +83,19 @@
       faults: this.faults,
       counts: this.counts,
       identityOf: generation => this.weights.identity(generation, this.incarnation),
-      startOf: (stream, cachedTokens) => this.startOf(stream, cachedTokens),
+      startOf: (stream, cachedTokens) => this.createStreamStart(stream, cachedTokens),
       finish: stream => this.finish(stream),
       crash: () => this.crash(),
-      changed: () => this.changed()
+      changed: () => this.handleChange()
     })
   }
 
-  private drawIncarnation (): string {
+  private createIncarnation (): string {
     this.incarnationNumber += 1
     return `${this.options.name}-${Math.floor(this.clock.now()).toString(36)}-${this.incarnationNumber}`
   }
 
-  /** Takes a request in, or refuses it; a refusal means that it did not run. */
+  /** Accepts or refuses a request; a refused request did not run. */
   submit (generation: Generation, sink: StreamSink): Either<Failure, string> {
     return this.check(generation).map(() => {
       const stream = this.createStream(generation, sink)
@@ -124,7 +124,7 @@
   }
 
   private createStream (generation: Generation, sink: StreamSink): Stream {
-    const order = this.order++
+    const order = this.nextOrder++
     return {
       id: `${this.incarnation}.${order}`,
       generation,
@@ -140,7 +140,7 @@
     }
   }
 
-  private startOf (stream: Stream, cachedTokens: number): StreamStart {
+  private createStreamStart (stream: Stream, cachedTokens: number): StreamStart {
     return {
       streamId: stream.id,
       incarnation: this.incarnation,
@@ -150,57 +150,57 @@
     }
   }
 
-  /** Attaches a new sink to a stream and repeats what came after the given event. */
+  /** Attaches a new sink to a stream and repeats the events after the given one. */
   resume (streamId: string, after: number, sink: StreamSink): Either<Failure, void> {
     return this.streams.resume(streamId, after, sink)
   }
 
-  /** The socket is gone: the stream runs on, unseen, until it is resumed or its time is up. */
+  /** Detaches a closed socket; the stream keeps running and can be resumed until it expires. */
   detach (streamId: string, sink: StreamSink): void {
     this.streams.detach(streamId, sink)
   }
 
-  /** Stops a stream, named by its id or by the request's. */
+  /** Cancels a stream, given its stream id or request id. */
   cancel (id: string): void {
-    const stream = this.streams.take(id)
+    const stream = this.streams.remove(id)
     if (stream) {
       this.batch.remove(stream)
-      this.changed()
+      this.handleChange()
     }
   }
 
   private finish (stream: Stream): void {
     this.streams.finish(stream)
-    this.changed()
+    this.handleChange()
   }
 
-  /** Something ended: orders go on once nothing runs. */
-  private changed (): void {
+  /** Samples the load and, if the batch is empty, carries out the next order. */
+  private handleChange (): void {
     this.sampleLoad()
     if (this.batch.isEmpty()) {
-      this.orders.proceed()
+      this.orders.runNext()
     }
   }
 
-  /** Refuses new work from now on; what runs is finished. */
+  /** Refuses new requests from now on; accepted streams finish. */
   leave (): void {
     this.leaving = true
     this.sampleLoad()
   }
 
-  /** Loses everything and comes back empty, at once or after the restart time. */
+  /** Loses all state and restarts empty, at once or after the restart time. */
   crash (): void {
     const lost = this.batch.clear()
     this.streams.clear()
     this.orders.reset()
     this.weights.reset()
-    this.renew()
+    this.startIncarnation()
     this.downUntil = this.clock.now() + this.faults.restartMs
     this.crashListener(this.downUntil)
     lost.forEach(stream => stream.sink.failed(Failure.create(FailureCode.ConnectionLost, Verdict.MayHaveRun, 'The engine crashed.')))
   }
 
-  /** Tells a server when this engine crashes, and when it will be back. */
+  /** Sets the listener for crashes; it gets the time of the restart. */
   onCrash (listener: (restartAt: number) => void): void {
     this.crashListener = listener
   }
@@ -209,11 +209,11 @@
     return this.clock.now() < this.downUntil
   }
 
-  /** Nothing that was cached counts any more. */
-  private renew (): void {
+  /** Clears the cache and its events and starts a new incarnation. */
+  private startIncarnation (): void {
     this.cache.clear()
     this.events.restart()
-    this.incarnation = this.drawIncarnation()
+    this.incarnation = this.createIncarnation()
     this.sampleLoad()
   }
 
@@ -222,43 +222,43 @@
     this.batch.wake()
   }
 
-  /** Takes an order, or refuses it. */
+  /** Accepts or refuses an order. */
   give (call: OrderCall): Either<Failure, void> {
-    return this.orders.take(call).map(() => this.changed())
+    return this.orders.acceptOrder(call).map(() => this.handleChange())
   }
 
-  /** Every order that arrived, taken or not, for oracles. */
+  /** Every order received, accepted or not; for test oracles. */
   receivedOrders (): readonly OrderCall[] {
     return this.orders.received
   }
 
   private apply (order: EngineOrder): void {
     if (this.weights.apply(order)) {
-      this.renew()
+      this.startIncarnation()
     }
   }
 
-  /** Puts the cached blocks of a prefix into the kept-cache store; answers their tokens. */
+  /** Saves the cached blocks of a prefix to the kept-cache store; returns their number of tokens. */
   async exportCache (request: CacheExport): Promise<Either<Failure, number>> {
-    return await this.kept.put(request, this.weights, this.incarnation)
+    return await this.keptCache.exportCache(request, this.weights, this.incarnation)
   }
 
-  /** Takes blocks from the kept-cache store; answers their tokens. */
+  /** Loads blocks from the kept-cache store; returns their number of tokens. */
   async importCache (request: CacheImport): Promise<Either<Failure, number>> {
-    return await this.kept.take(request, this.weights)
+    return await this.keptCache.importCache(request, this.weights)
   }
 
   readEvents (after: number): CacheEventPage {
     return this.events.read(this.incarnation, after)
   }
 
-  /** Streams in the batch right now, without the lag of load reports; for oracles. */
+  /** Number of running streams, without the lag of load reports; for test oracles. */
   runningNow (): number {
     return this.batch.runningCount()
   }
 
   private sampleLoad (): void {
-    this.reports.put(this.measureLoad(), this.faults.loadLagMs)
+    this.reports.addSample(this.measureLoad(), this.faults.loadLagMs)
   }
 
   private measureLoad (): LoadReport {
@@ -274,7 +274,7 @@
     }
   }
 
-  /** The load as it was some time ago. */
+  /** The load report, delayed by the load lag. */
   load (): LoadReport {
     this.sampleLoad()
     return this.reports.get(this.faults.loadLagMs) ?? this.measureLoad()
--- a/packages/foxtaillever-standins/src/engine/engineServer.ts
+++ b/packages/foxtaillever-standins/src/engine/engineServer.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the engine model on a socket: completions over server-sent events,
+ * Serves the engine model over HTTP: completions over server-sent events,
  * resume, cancel, load, events, state, orders and kept cache, and the control
  * route for faults.
  */
@@ -9,11 +9,11 @@
   type CacheExport, type CacheImport, type ChatMessage, type EngineOrder
 } from 'foxtaillever-core'
 import type { Either } from 'purify-ts'
-import { crashWith, waitWhileFrozen } from './crashServer.js'
+import { closeServerOnCrash, waitWhileFrozen } from './crashServer.js'
 import type { EngineFaults } from './engineFaults.js'
 import type { EngineModel } from './engineModel.js'
 import type { Generation } from './generation.js'
-import { chatChunk, SocketSink, textChunk, type ChunkForm } from './socketSink.js'
+import { chatChunk, SocketSink, textChunk, type ChunkFormat } from './socketSink.js'
 
 const BODY_LIMIT_BYTES = 16 * 1024 * 1024
 const DEFAULT_MAX_TOKENS = 16
@@ -28,8 +28,8 @@
   readonly max_tokens?: number
 }
 
-/** Faults to switch, and things to do at once. */
-interface Control extends Partial<EngineFaults> {
+/** Faults to set, and actions to run at once. */
+interface FaultsBody extends Partial<EngineFaults> {
   readonly crash?: boolean
   readonly leave?: boolean
 }
@@ -63,22 +63,22 @@
 }
 
 const STATUS_UNAVAILABLE = 503
-const statuses: Partial<Record<FailureCode, number>> = {
+const statusCodes: Partial<Record<FailureCode, number>> = {
   [FailureCode.Stale]: 409,
   [FailureCode.Forbidden]: 403,
   [FailureCode.UnknownRoute]: 404
 }
 
-/** Written by hand, since a hijacked reply knows no other way. */
-function refuse (reply: FastifyReply, failure: Failure): void {
-  reply.raw.writeHead(statuses[failure.code] ?? STATUS_UNAVAILABLE, { 'content-type': 'application/json', [EngineHeader.Verdict]: failure.verdict })
+/** Writes to the raw response, since the reply is hijacked. */
+function sendFailure (reply: FastifyReply, failure: Failure): void {
+  reply.raw.writeHead(statusCodes[failure.code] ?? STATUS_UNAVAILABLE, { 'content-type': 'application/json', [EngineHeader.Verdict]: failure.verdict })
   reply.raw.end(JSON.stringify({ error: { code: failure.code, message: failure.message, verdict: failure.verdict } }))
 }
 
-function answer (reply: FastifyReply, result: Either<Failure, object>): void {
+function sendResult (reply: FastifyReply, result: Either<Failure, object>): void {
   reply.hijack()
   result.caseOf({
-    Left: failure => refuse(reply, failure),
+    Left: failure => sendFailure(reply, failure),
     Right: body => {
       reply.raw.writeHead(200, { 'content-type': 'application/json' })
       reply.raw.end(JSON.stringify(body))
@@ -86,13 +86,13 @@
   })
 }
 
-function stream (model: EngineModel, form: ChunkForm) {
+function serveCompletion (model: EngineModel, form: ChunkFormat) {
   return (request: FastifyRequest, reply: FastifyReply): void => {
     const generation = readGeneration(request)
     const sink = SocketSink.create(reply, text => form(generation.requestId, generation.model, text))
     reply.hijack()
     model.submit(generation, sink).caseOf({
-      Left: failure => refuse(reply, failure),
+      Left: failure => sendFailure(reply, failure),
       Right: streamId => reply.raw.on('close', () => {
         if (!reply.raw.writableFinished) {
           model.detach(streamId, sink)
@@ -103,13 +103,13 @@
 }
 
 function serveStreams (server: FastifyInstance, model: EngineModel): void {
-  server.post(EnginePath.Completions, stream(model, textChunk))
-  server.post(EnginePath.ChatCompletions, stream(model, chatChunk))
+  server.post(EnginePath.Completions, serveCompletion(model, textChunk))
+  server.post(EnginePath.ChatCompletions, serveCompletion(model, chatChunk))
   server.get<{ Params: { id: string }, Querystring: ResumeQuery }>(`${EnginePath.Streams}/:id`, (request, reply) => {
     const form = request.query.form === EnginePath.ChatCompletions ? chatChunk : textChunk
     const sink = SocketSink.create(reply, text => form(request.query.request ?? '', request.query.model ?? '', text))
     reply.hijack()
-    model.resume(request.params.id, Number(request.query.after ?? 0), sink).ifLeft(failure => refuse(reply, failure))
+    model.resume(request.params.id, Number(request.query.after ?? 0), sink).ifLeft(failure => sendFailure(reply, failure))
   })
   server.post<{ Params: { id: string } }>(`${EnginePath.Cancel}/:id`, (request, reply) => {
     model.cancel(request.params.id)
@@ -130,21 +130,21 @@
       fence: Number(header(request, EngineHeader.Fence) || 0),
       caller: header(request, EngineHeader.Caller)
     }
-    answer(reply, model.give(call).map(() => model.state()))
+    sendResult(reply, model.give(call).map(() => model.state()))
   })
   server.post(EnginePath.CacheExport, async (request, reply) => {
     const exported = await model.exportCache(request.body as CacheExport)
-    answer(reply, exported.map(tokens => ({ tokens })))
+    sendResult(reply, exported.map(tokens => ({ tokens })))
   })
   server.post(EnginePath.CacheImport, async (request, reply) => {
     const imported = await model.importCache(request.body as CacheImport)
-    answer(reply, imported.map(tokens => ({ tokens })))
+    sendResult(reply, imported.map(tokens => ({ tokens })))
   })
 }
 
 function serveFaults (server: FastifyInstance, model: EngineModel): void {
   server.post(FAULTS_PATH, async (request) => {
-    const { crash, leave, ...faults } = request.body as Control
+    const { crash, leave, ...faults } = request.body as FaultsBody
     model.setFaults(faults)
     if (leave === true) {
       model.leave()
@@ -169,8 +169,8 @@
   serveFaults(server, model)
   server.setNotFoundHandler((_, reply) => {
     reply.hijack()
-    refuse(reply, Failure.create(FailureCode.UnknownRoute, Verdict.NotRun, 'No such call.'))
+    sendFailure(reply, Failure.create(FailureCode.UnknownRoute, Verdict.NotRun, 'No such route.'))
   })
-  crashWith(server, model)
+  closeServerOnCrash(server, model)
   return server
 }
--- a/packages/foxtaillever-standins/src/engine/generation.ts
+++ b/packages/foxtaillever-standins/src/engine/generation.ts
@@ -1,4 +1,4 @@
-/** What a stand-in engine is asked to generate, how it is set up, and one stream of it. */
+/** Options of a stand-in engine, its generation requests and their streams. */
 import type { EngineRole, Failure, StreamEnd, StreamStart } from 'foxtaillever-core'
 
 export interface EngineOptions {
@@ -7,7 +7,7 @@
   readonly weightsVersion: string
   readonly slots: number
   readonly prefillTokensPerSecond: number
-  /** Decode steps a second when the batch is empty but for one. */
+  /** Decode steps a second with one stream in the batch. */
   readonly decodeTokensPerSecond: number
   readonly cacheTokens: number
   /** Blocks unused for this long are evicted, milliseconds. */
@@ -16,24 +16,24 @@
   readonly role?: EngineRole
   /** Whether orders with an old fencing number are refused. */
   readonly checksFencing?: boolean
-  /** Callers whose orders are taken; undefined when no one is checked. */
+  /** Callers whose orders are accepted; undefined if callers are not checked. */
   readonly trustedCallers?: readonly string[]
-  /** How late cache events come, milliseconds. */
+  /** Delay of cache events, milliseconds. */
   readonly eventLagMs?: number
-  /** How old load reports are, milliseconds. */
+  /** Age of load reports, milliseconds. */
   readonly loadLagMs?: number
 }
 
 export interface Generation {
   readonly requestId: string
   readonly account: string
-  /** A model's name, with `:adapter` after it where one is asked for. */
+  /** Name of the model, followed by `:adapter` if the request names an adapter. */
   readonly model: string
   readonly prompt: string
   readonly maxTokens: number
-  /** Tokens an earlier engine delivered; the answer goes on after them. */
+  /** Number of tokens that an earlier engine delivered; the answer continues after them. */
   readonly continueAfter: number
-  /** Lower runs first. */
+  /** Lower values run first. */
   readonly priority: number
   readonly expectedIncarnation: string
   readonly expectedWeights: string
@@ -56,7 +56,7 @@
   failed: () => {}
 }
 
-/** One stream from submission to its end; changed by the batch alone. */
+/** One stream from submission to its end. Only the batch changes `start`, `prefillLeft` and `produced`. */
 export interface Stream {
   readonly id: string
   readonly generation: Generation
@@ -71,7 +71,7 @@
   done: boolean
 }
 
-export function endOf (stream: Stream): StreamEnd {
+export function createStreamEnd (stream: Stream): StreamEnd {
   return {
     finishReason: 'length',
     promptTokens: stream.promptTokens,
--- a/packages/foxtaillever-standins/src/engine/keptCacheDesk.ts
+++ b/packages/foxtaillever-standins/src/engine/keptCacheTransfer.ts
@@ -1,8 +1,8 @@
 /**
- * Export and import of kept cache by a stand-in engine. What is exported is
- * what the engine holds under its present identity; what is imported must be
- * exactly what the request names, of the weights loaded here. Otherwise a
- * request could rely on another account's work or on older weights.
+ * Export and import of kept cache by a stand-in engine. An export holds the
+ * blocks cached under the engine's current identity. An import must match the
+ * requested identity exactly, and the weights loaded here: otherwise a request
+ * could use cached blocks of another account or of older weights.
  */
 import { Failure, FailureCode, isSameCache, type CacheExport, type CacheIdentity, type CacheImport, type Clock } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
@@ -10,14 +10,14 @@
 import { BLOCK_TOKENS, BlockCache } from './blockCache.js'
 import type { Weights } from './weights.js'
 
-export class KeptCacheDesk {
+export class KeptCacheTransfer {
   private constructor (private readonly cache: BlockCache, private readonly clock: Clock, private readonly store: KeptCacheStore) {}
 
-  static create (cache: BlockCache, clock: Clock, store: KeptCacheStore): KeptCacheDesk {
-    return new KeptCacheDesk(cache, clock, store)
+  static create (cache: BlockCache, clock: Clock, store: KeptCacheStore): KeptCacheTransfer {
+    return new KeptCacheTransfer(cache, clock, store)
   }
 
-  async put (request: CacheExport, weights: Weights, incarnation: string): Promise<Either<Failure, number>> {
+  async exportCache (request: CacheExport, weights: Weights, incarnation: string): Promise<Either<Failure, number>> {
     const { identity } = request
     if (identity.incarnation !== incarnation || identity.weightsVersion !== weights.version()) {
       return refuseStale()
@@ -30,7 +30,7 @@
     return stored.map(() => tokens)
   }
 
-  async take (request: CacheImport, weights: Weights): Promise<Either<Failure, number>> {
+  async importCache (request: CacheImport, weights: Weights): Promise<Either<Failure, number>> {
     const found = await this.store.get(request.key)
     return found.chain(entry => {
       if (!isSameCache(entry.identity, request.identity) || entry.identity.weightsVersion !== weights.version()) {
@@ -47,5 +47,5 @@
 }
 
 function refuseStale (): Either<Failure, number> {
-  return Left(Failure.notRun(FailureCode.Stale, 'This is not the cache that was asked for.'))
+  return Left(Failure.notRun(FailureCode.Stale, 'The cache identity does not match the request or the loaded weights.'))
 }
--- a/packages/foxtaillever-standins/src/engine/laggedValue.ts
+++ b/packages/foxtaillever-standins/src/engine/laggedValue.ts
@@ -1,4 +1,4 @@
-/** A value as it was some time ago, kept from samples taken at its changes. */
+/** Delays a value by a lag, from samples taken when it changes. */
 import type { Clock } from 'foxtaillever-core'
 
 interface Sample<Value> {
@@ -15,8 +15,8 @@
     return new LaggedValue<Value>(clock)
   }
 
-  /** Takes a sample; drops those that no reader with this lag sees any more. */
-  put (value: Value, lagMs: number): void {
+  /** Adds a sample; drops samples too old for a reader with this lag. */
+  addSample (value: Value, lagMs: number): void {
     const now = this.clock.now()
     this.samples.push({ takenAt: now, value })
     const newestDue = this.samples.findLastIndex(sample => sample.takenAt <= now - lagMs)
--- a/packages/foxtaillever-standins/src/engine/orderDesk.ts
+++ b/packages/foxtaillever-standins/src/engine/orderQueue.ts
@@ -1,7 +1,8 @@
 /**
- * Takes orders to a stand-in engine one after the other. By its settings it
- * checks the fencing number and the caller, or neither. An order waits until
- * what runs has finished; meanwhile new work is refused, not run.
+ * Queue of the orders to a stand-in engine, carried out one after the other. Its
+ * options decide whether it checks the fencing number and the caller. An order
+ * waits until the running streams have finished; meanwhile the engine refuses new
+ * requests without running them.
  */
 import {
   Failure, FailureCode, OrderKind,
@@ -10,47 +11,47 @@
 import { Left, Right, type Either } from 'purify-ts'
 import type { WeightStore } from '../platform/weightStoreModel.js'
 
-/** An order as it arrives. */
+/** An order with its sender and fencing number. */
 export interface OrderCall {
   readonly order: EngineOrder
-  /** Log offset of the lease it was given under; 0 for none. */
+  /** Log offset of the lease that the order was sent under; 0 for none. */
   readonly fence: number
   readonly caller: string
 }
 
-export interface OrderDeskOptions {
+export interface OrderQueueOptions {
   readonly checksFencing: boolean
-  /** Undefined when no one is checked. */
+  /** Undefined if callers are not checked. */
   readonly trustedCallers: readonly string[] | undefined
 }
 
-/** How long an adapter takes to load, milliseconds; small against weights. */
+/** How long an adapter takes to load, milliseconds; much less than weights. */
 const ADAPTER_LOAD_MS = 50
 
-/** Ids of done orders shown in the engine's state. */
-const DONE_KEPT = 16
+/** Maximum number of ids of done orders in the engine's state. */
+const MAX_DONE_IDS = 16
 
-export class OrderDesk {
+export class OrderQueue {
   private pending: EngineOrder[] = []
   private done: string[] = []
   private fence = 0
-  private busy = false
-  private round = 0
-  /** Every order that arrived, in order, for oracles. */
+  private isRunning = false
+  private epoch = 0
+  /** Every order received, accepted or not, in order of arrival; for test oracles. */
   readonly received: OrderCall[] = []
 
   private constructor (
-    private readonly options: OrderDeskOptions,
+    private readonly options: OrderQueueOptions,
     private readonly clock: Clock,
     private readonly weights: WeightStore,
     private readonly apply: (order: EngineOrder) => void
   ) {}
 
-  static create (options: OrderDeskOptions, clock: Clock, weights: WeightStore, apply: (order: EngineOrder) => void): OrderDesk {
-    return new OrderDesk(options, clock, weights, apply)
+  static create (options: OrderQueueOptions, clock: Clock, weights: WeightStore, apply: (order: EngineOrder) => void): OrderQueue {
+    return new OrderQueue(options, clock, weights, apply)
   }
 
-  take (call: OrderCall): Either<Failure, void> {
+  acceptOrder (call: OrderCall): Either<Failure, void> {
     this.received.push(call)
     if (this.options.trustedCallers && !this.options.trustedCallers.includes(call.caller)) {
       return Left(Failure.notRun(FailureCode.Forbidden, `Caller ${call.caller} may not give orders here.`))
@@ -79,16 +80,16 @@
     return this.fence
   }
 
-  /** Carries out the next order; called when the engine runs nothing. */
-  proceed (): void {
+  /** Carries out the next order; called when no stream is running or waiting. */
+  runNext (): void {
     const order = this.pending[0]
-    if (this.busy || !order) {
+    if (this.isRunning || !order) {
       return
     }
-    this.busy = true
-    const round = this.round
+    this.isRunning = true
+    const round = this.epoch
     this.load(order, () => {
-      if (round === this.round) {
+      if (round === this.epoch) {
         this.finish(order)
       }
     })
@@ -105,18 +106,18 @@
   }
 
   private finish (order: EngineOrder): void {
-    this.busy = false
+    this.isRunning = false
     this.pending = this.pending.filter(other => other !== order)
-    this.done = [...this.done, order.id].slice(-DONE_KEPT)
+    this.done = [...this.done, order.id].slice(-MAX_DONE_IDS)
     this.apply(order)
-    this.proceed()
+    this.runNext()
   }
 
-  /** A crash forgets orders that were not carried out, and the fencing number. */
+  /** Drops pending orders and the fencing number, as a crash does. */
   reset (): void {
     this.pending = []
-    this.busy = false
+    this.isRunning = false
     this.fence = 0
-    this.round += 1
+    this.epoch += 1
   }
 }
--- a/packages/foxtaillever-standins/src/engine/runCounts.ts
+++ b/packages/foxtaillever-standins/src/engine/runCounts.ts
@@ -1,4 +1,4 @@
-/** Counts what an engine ran, so that an oracle can see a request that ran twice. */
+/** Counts the runs of each request, so that a test oracle can detect a request that ran twice. */
 export class RunCounts {
   readonly byRequest = new Map<string, number>()
   readonly byIdempotencyKey = new Map<string, number>()
--- a/packages/foxtaillever-standins/src/engine/socketSink.ts
+++ b/packages/foxtaillever-standins/src/engine/socketSink.ts
@@ -1,16 +1,16 @@
-/** Writes a stream to a socket as server-sent events; a crash cuts the socket without a last word. */
+/** Writes a stream to a socket as server-sent events; a crash closes the socket without a final event. */
 import type { FastifyReply } from 'fastify'
 import { StreamEvent, type Failure, type StreamEnd, type StreamStart } from 'foxtaillever-core'
 import { formatEvent } from './formatEvent.js'
 import type { StreamSink } from './generation.js'
 
-/** How one token looks on the wire. */
-export type ChunkForm = (id: string, model: string, text: string) => string
+/** Formats one token as a chunk of the wire format. */
+export type ChunkFormat = (id: string, model: string, text: string) => string
 
-export const textChunk: ChunkForm = (id, model, text) =>
+export const textChunk: ChunkFormat = (id, model, text) =>
   JSON.stringify({ id, object: 'text_completion', created: 0, model, choices: [{ index: 0, text, logprobs: null, finish_reason: null }] })
 
-export const chatChunk: ChunkForm = (id, model, text) =>
+export const chatChunk: ChunkFormat = (id, model, text) =>
   JSON.stringify({ id, object: 'chat.completion.chunk', created: 0, model, choices: [{ index: 0, delta: { role: 'assistant', content: text }, finish_reason: null }] })
 
 export class SocketSink implements StreamSink {
--- a/packages/foxtaillever-standins/src/engine/weights.ts
+++ b/packages/foxtaillever-standins/src/engine/weights.ts
@@ -1,4 +1,4 @@
-/** What a stand-in engine has loaded, and what that means for identity of cached work. */
+/** Models, adapters and weights that a stand-in engine has loaded, and the identity they give its cached blocks. */
 import { EngineRole, Failure, FailureCode, OrderKind, type CacheIdentity, type EngineOrder } from 'foxtaillever-core'
 import { Left, Right, type Either } from 'purify-ts'
 import type { EngineOptions, Generation } from './generation.js'
@@ -29,16 +29,16 @@
   private loaded: Loaded
 
   private constructor (private readonly options: EngineOptions) {
-    this.loaded = initial(options)
+    this.loaded = createInitialState(options)
   }
 
   static create (options: EngineOptions): Weights {
     return new Weights(options)
   }
 
-  /** A restarted engine loads what its settings say, whatever was ordered since. */
+  /** Goes back to the configured weights, as a restart does; orders carried out since are lost. */
   reset (): void {
-    this.loaded = initial(this.options)
+    this.loaded = createInitialState(this.options)
   }
 
   models (): readonly string[] {
@@ -57,7 +57,7 @@
     return this.loaded.role
   }
 
-  /** Carries out an order; true when it voids everything cached. */
+  /** Carries out an order; true if it invalidates the whole cache. */
   apply (order: EngineOrder): boolean {
     const handler = handlers[order.kind] as (loaded: Loaded, order: EngineOrder) => Loaded
     this.loaded = handler(this.loaded, order)
@@ -82,7 +82,7 @@
     return Right(undefined)
   }
 
-  /** Whose cached work a request's would be; empty owner where there is no request. */
+  /** Identity of the blocks that a request caches; account and model are empty without a request. */
   identity (generation: Generation | undefined, incarnation: string): CacheIdentity {
     return {
       account: generation?.account ?? '',
@@ -92,13 +92,13 @@
     }
   }
 
-  /** Keeps cached blocks of accounts, models, adapters and versions apart. */
+  /** Hash salt that isolates cached blocks by account, model, adapter and version. */
   salt (owner: { readonly account: string, readonly model: string }): string {
     return `${owner.account}/${owner.model}/${this.loaded.version}`
   }
 }
 
-function initial (options: EngineOptions): Loaded {
+function createInitialState (options: EngineOptions): Loaded {
   return {
     models: options.models,
     version: options.weightsVersion,
