--- a/packages/foxtaillever-standins/src/__tests__/engineModel.test.ts
+++ b/packages/foxtaillever-standins/src/__tests__/engineModel.test.ts
@@ -42,9 +42,9 @@
   failed (failure: Failure): void { this.failure = failure }
 }
 
-function createEngine (changes: Partial<EngineOptions> = {}, surroundings: EngineDependencies = {}): { clock: VirtualClock, engine: EngineModel } {
+function createEngine (changes: Partial<EngineOptions> = {}, dependencies: EngineDependencies = {}): { clock: VirtualClock, engine: EngineModel } {
   const clock = VirtualClock.create()
-  return { clock, engine: EngineModel.create({ ...options, ...changes }, clock, surroundings) }
+  return { clock, engine: EngineModel.create({ ...options, ...changes }, clock, dependencies) }
 }
 
 async function run (clock: VirtualClock, engine: EngineModel, changes: Partial<Generation> = {}): Promise<Recorder> {
--- a/packages/foxtaillever-standins/src/engine/batch.ts
+++ b/packages/foxtaillever-standins/src/engine/batch.ts
@@ -106,12 +106,12 @@
     const stepMs = decodeMs + prefillMs
     // After a late timer, the schedule catches up by at most one step.
     this.nextStepAt = Math.max(this.nextStepAt, this.clock.now() - decodeMs) + stepMs
-    const generation = this.epoch
-    this.clock.at(this.nextStepAt, () => this.endPlannedStep(generation, prefill.streams))
+    const epoch = this.epoch
+    this.clock.at(this.nextStepAt, () => this.endPlannedStep(epoch, prefill.streams))
   }
 
-  private endPlannedStep (generation: number, prefilled: Map<Stream, number>): void {
-    if (generation !== this.epoch) {
+  private endPlannedStep (epoch: number, prefilled: Map<Stream, number>): void {
+    if (epoch !== this.epoch) {
       return
     }
     if (this.faults.frozen) {
--- a/packages/foxtaillever-standins/src/engine/orderQueue.ts
+++ b/packages/foxtaillever-standins/src/engine/orderQueue.ts
@@ -87,9 +87,9 @@
       return
     }
     this.isRunning = true
-    const round = this.epoch
+    const epoch = this.epoch
     this.load(order, () => {
-      if (round === this.epoch) {
+      if (epoch === this.epoch) {
         this.finish(order)
       }
     })
