--- a/packages/foxtaillever-standins/src/index.ts
+++ b/packages/foxtaillever-standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of the stand-ins. */
+/** Public API of the stand-ins. */
 export * from './answer.js'
 export * from './engine/batch.js'
 export * from './engine/blockCache.js'
@@ -6,7 +6,7 @@
 export * from './engine/engineModel.js'
 export * from './engine/engineServer.js'
 export * from './engine/generation.js'
-export * from './engine/orderDesk.js'
+export * from './engine/orderQueue.js'
 export * from './platform/instanceListModel.js'
 export * from './platform/instanceListServer.js'
 export * from './platform/localLog.js'
