--- a/packages/foxtaillever-load/src/workload/answer.ts
+++ b/packages/foxtaillever-load/src/workload/answer.ts
@@ -1,4 +1,4 @@
-/** What became of one arrival, as its caller saw it. */
+/** Outcome of one arrival as its caller saw it. */
 import type { Arrival } from './arrival.js'
 
 export enum AnswerState {
@@ -6,9 +6,9 @@
   Refused = 'refused',
   /** The stream ended with an error event. */
   Failed = 'failed',
-  /** The stream ended without a last word. */
+  /** The stream ended without [DONE], or no answer arrived. */
   Cut = 'cut',
-  /** The text is not the answer to this prompt, or an event came twice, late or never. */
+  /** The text is not the answer to this prompt, or an event was repeated, out of order or missing. */
   Wrong = 'wrong'
 }
 
@@ -16,7 +16,7 @@
   readonly arrival: Arrival
   readonly state: AnswerState
   readonly status: number
-  /** Of a failure; empty otherwise. */
+  /** Error code of a failure; empty otherwise. */
   readonly code: string
   readonly verdict: string
   /** Milliseconds after the intended start; undefined when no token came. */
@@ -24,7 +24,7 @@
   readonly totalMs: number
   /** Mean time between tokens; undefined below two tokens. */
   readonly betweenTokensMs: number | undefined
-  /** How late the request left against its intended start; a measure of this tool, not of the system. */
+  /** Delay between the intended and the actual sending time; measures this tool, not the system. */
   readonly lateMs: number
   readonly promptTokens: number
   readonly cachedTokens: number
--- a/packages/foxtaillever-load/src/workload/arrival.ts
+++ b/packages/foxtaillever-load/src/workload/arrival.ts
@@ -1,4 +1,4 @@
-/** One request that a caller will send, decided before the run. */
+/** One request that a caller will send, generated before the run. */
 import type { ChatMessage, PriorityClass } from 'foxtaillever-core'
 
 export enum ArrivalKind {
@@ -11,21 +11,21 @@
 }
 
 export interface Arrival {
-  /** Unique within a run; goes out as the request id and, for exports, in the idempotency key. */
+  /** Unique within a run; sent as the request id and, for exports, in the idempotency key. */
   readonly id: string
   readonly kind: ArrivalKind
   /** Milliseconds after the start of the run. */
   readonly offsetMs: number
   readonly account: string
   readonly priority: PriorityClass
-  /** Entry instance that the balancer picks. */
+  /** Index of the entry instance that the load balancer picks. */
   readonly entry: number
   readonly model: string
   /** Empty for plain calls. */
   readonly messages: readonly ChatMessage[]
   readonly maxTokens: number
-  /** Tokens of the longest prefix that an earlier arrival of the run already had; what a perfect cache would save. */
+  /** Tokens of the longest prefix that an earlier arrival of the run already had; the tokens that a perfect cache would save. */
   readonly sharedTokens: number
-  /** Time on the way from the caller to the entry instance, milliseconds. */
+  /** One-way network delay from the caller to the entry instance, milliseconds. */
   readonly clientDelayMs: number
 }
--- a/packages/foxtaillever-load/src/workload/createArrivals.ts
+++ b/packages/foxtaillever-load/src/workload/createArrivals.ts
@@ -1,6 +1,6 @@
 /**
- * Open-loop arrivals of requests with nested shared prompts, from a seed. An
- * arrival has its instant whether or not the system keeps up.
+ * Generates open-loop arrivals of requests with nested shared prompts from a
+ * seed. Arrival times don't depend on whether the system keeps up.
  */
 import { exponential, type ChatMessage, type Random } from 'foxtaillever-core'
 import type { AccountShape, Shape } from '../deployment/shape.js'
@@ -12,11 +12,11 @@
   readonly random: Random
   readonly requestsPerSecond: number
   readonly seconds: number
-  /** Put before each id, so that several runs may share engines. */
+  /** Prefix of each id, so that several runs may share engines. */
   readonly idPrefix?: string
 }
 
-/** Share of draws that go to the entry that is hot at the moment. */
+/** Share of draws that go to the currently popular entry. */
 const HOT_SHARE = 0.5
 
 function pickAccount (shape: Shape, random: Random): AccountShape {
@@ -29,7 +29,7 @@
   return picked ?? shape.accounts[0] as AccountShape
 }
 
-/** Half of all draws go to one entry; which one moves on with time. */
+/** Picks the popular entry in half of all draws, else any entry; the popular entry changes with time. */
 function pickHot (count: number, shift: number, random: Random): number {
   return random.next() < HOT_SHARE ? shift % count : random.below(count)
 }
@@ -42,7 +42,7 @@
   return drawn < shape.lookupShare + shape.exportShare ? ArrivalKind.Export : ArrivalKind.Language
 }
 
-/** Remembers which prefixes have been drawn, to tell what could have been cached. */
+/** Records which prefixes have been drawn, to compute how many tokens could have been cached. */
 class SeenPrefixes {
   private readonly names = new Set<string>()
 
@@ -52,20 +52,20 @@
     return new SeenPrefixes()
   }
 
-  /** Length of the longest of these nested prefixes seen before, tokens. */
-  take (prefixes: ReadonlyArray<{ readonly name: string, readonly tokens: number }>): number {
+  /** Records these nested prefixes; returns the length in tokens of the longest that had been recorded before. */
+  recordPrefixes (prefixes: ReadonlyArray<{ readonly name: string, readonly tokens: number }>): number {
     const known = prefixes.filter(prefix => this.names.has(prefix.name)).map(prefix => prefix.tokens)
     prefixes.forEach(prefix => this.names.add(prefix.name))
     return Math.max(0, ...known)
   }
 }
 
-interface Drawn {
+interface DrawnPrompt {
   readonly messages: readonly ChatMessage[]
   readonly sharedTokens: number
 }
 
-function drawPrompt (options: ArrivalOptions, account: string, offsetMs: number, serial: number, seen: SeenPrefixes): Drawn {
+function drawPrompt (options: ArrivalOptions, account: string, offsetMs: number, serial: number, seen: SeenPrefixes): DrawnPrompt {
   const { shape, random } = options
   const shift = Math.floor(offsetMs / shape.hotShiftMs)
   const catalogue = `${account} catalogue ${pickHot(shape.catalogues, shift, random)}`
@@ -77,14 +77,14 @@
       { role: 'system', content: sharedText(tenant, shape.tenantTokens) },
       { role: 'user', content: fillText(question, shape.questionTokens) }
     ],
-    sharedTokens: seen.take([
+    sharedTokens: seen.recordPrefixes([
       { name: catalogue, tokens: shape.catalogueTokens },
       { name: tenant, tokens: shape.catalogueTokens + shape.tenantTokens }
     ])
   }
 }
 
-/** Answers are short or long in a fixed mix, so that long ones stand among short ones. */
+/** Answers are short or long in a fixed mix, so that long answers are mixed with short ones. */
 function drawMaxTokens (shape: Shape, random: Random): number {
   return random.next() < shape.longAnswerShare ? shape.answerTokens * shape.longAnswerFactor : shape.answerTokens
 }
--- a/packages/foxtaillever-load/src/workload/exportKey.ts
+++ b/packages/foxtaillever-load/src/workload/exportKey.ts
@@ -1,8 +1,8 @@
 /**
- * Idempotency keys of exports: the creation time, as the router demands of
- * calls that may not be repeated, and the arrival's id.
+ * Idempotency keys of exports: the creation time, which the router requires
+ * for calls that may not be repeated, followed by the arrival's id.
  */
-const DIGITS_OF_TIME = 13
+const TIMESTAMP_DIGITS = 13
 
 /** @param now milliseconds of Unix time. */
 export function createExportKey (id: string, now: number): string {
@@ -10,5 +10,5 @@
 }
 
 export function arrivalOf (exportKey: string): string {
-  return exportKey.slice(DIGITS_OF_TIME + 1)
+  return exportKey.slice(TIMESTAMP_DIGITS + 1)
 }
--- a/packages/foxtaillever-load/src/workload/prompts.ts
+++ b/packages/foxtaillever-load/src/workload/prompts.ts
@@ -1,4 +1,4 @@
-/** Texts of prompts: long, the same for the same name, made once. */
+/** Generates long prompt texts that depend only on their name and length. */
 import { CHARACTERS_PER_TOKEN } from 'foxtaillever-core'
 
 const shared = new Map<string, string>()
@@ -9,7 +9,7 @@
   return `${name} `.repeat(Math.ceil(characters / (name.length + 1))).slice(0, characters)
 }
 
-/** The same, kept, for levels that many prompts share. */
+/** Like fillText, but cached, for levels that many prompts share. */
 export function sharedText (name: string, tokens: number): string {
   const key = `${name}/${tokens}`
   const text = shared.get(key) ?? fillText(name, tokens)
--- a/packages/foxtaillever-load/src/workload/sendPlain.ts
+++ b/packages/foxtaillever-load/src/workload/sendPlain.ts
@@ -1,4 +1,4 @@
-/** One caller of the plain service: a lookup or an export, never sent twice. */
+/** Sends one call of the plain service, a lookup or an export, exactly once. */
 import { CallerHeader } from 'foxtaillever-core'
 import { request } from 'undici'
 import { AnswerState, type Answer } from './answer.js'
--- a/packages/foxtaillever-load/src/workload/sendRequest.ts
+++ b/packages/foxtaillever-load/src/workload/sendRequest.ts
@@ -1,4 +1,4 @@
-/** One caller of a language model: sends a request, reads its stream and checks the answer. */
+/** Sends one request to a language model, reads its stream and checks the answer. */
 import { createParser } from 'eventsource-parser'
 import { CallerHeader, EnginePath } from 'foxtaillever-core'
 import { request } from 'undici'
@@ -50,7 +50,7 @@
     })
     status = answer.statusCode
     if (status === STATUS_OK) {
-      const parser = createParser({ onEvent: event => reading.take(event) })
+      const parser = createParser({ onEvent: event => reading.handleEvent(event) })
       const decoder = new TextDecoder()
       for await (const chunk of answer.body) {
         parser.feed(decoder.decode(chunk as Buffer, { stream: true }))
@@ -59,7 +59,7 @@
       refusal = readRefusal(await answer.body.text())
     }
   } catch {
-    // A connection that broke leaves the reading open: the answer counts as cut.
+    // After a broken connection the stream has no [DONE], so the answer counts as cut.
   }
   return describe(arrival, intendedAt, sentAt, status, reading, reading.error ?? refusal)
 }
@@ -67,14 +67,14 @@
 function describe (arrival: Arrival, intendedAt: number, sentAt: number, status: number, reading: StreamReading, refusal: Refusal): Answer {
   const isRefused = status !== 0 && status !== STATUS_OK
   const { firstTokenAt, lastTokenAt } = reading
-  const gaps = reading.tokens() - 1
+  const gaps = reading.tokenCount() - 1
   return {
     arrival,
-    state: isRefused ? AnswerState.Refused : reading.judge(arrival),
+    state: isRefused ? AnswerState.Refused : reading.checkAnswer(arrival),
     status,
     code: refusal.code,
     verdict: refusal.verdict,
-    // The caller's way is gone twice: once by the request, once by the answer.
+    // The network delay of the caller counts twice: for the request and for the answer.
     firstTokenMs: firstTokenAt === undefined ? undefined : firstTokenAt - intendedAt + arrival.clientDelayMs,
     totalMs: performance.now() - intendedAt + arrival.clientDelayMs,
     betweenTokensMs: firstTokenAt === undefined || lastTokenAt === undefined || gaps < 1 ? undefined : (lastTokenAt - firstTokenAt) / gaps,
--- a/packages/foxtaillever-load/src/workload/sending.ts
+++ b/packages/foxtaillever-load/src/workload/sending.ts
@@ -1,4 +1,4 @@
-/** Where and as whom an arrival is sent. */
+/** Address, API key and HTTP dispatcher that an arrival is sent with. */
 import type { Dispatcher } from 'undici'
 
 export interface Sending {
--- a/packages/foxtaillever-load/src/workload/streamReading.ts
+++ b/packages/foxtaillever-load/src/workload/streamReading.ts
@@ -1,6 +1,6 @@
 /**
- * Reads one streamed answer as a caller does, and judges it: whole, in order,
- * closed, and the answer to the caller's own prompt.
+ * Reads one streamed answer as a caller does and checks that it is complete, in
+ * order, closed by [DONE], and the answer to the caller's own prompt.
  */
 import type { EventSourceMessage } from 'eventsource-parser'
 import { renderMessages } from 'foxtaillever-core'
@@ -30,7 +30,7 @@
     return new StreamReading()
   }
 
-  take (event: EventSourceMessage): void {
+  handleEvent (event: EventSourceMessage): void {
     if (event.data === '[DONE]') {
       this.closed = true
       return
@@ -42,7 +42,7 @@
     }
     const text = chunk.choices?.[0]?.delta?.content ?? ''
     if (text !== '') {
-      this.takeToken(text, event.id)
+      this.handleToken(text, event.id)
     }
     if (chunk.usage) {
       this.promptTokens = chunk.usage.prompt_tokens
@@ -50,18 +50,18 @@
     }
   }
 
-  private takeToken (text: string, id: string | undefined): void {
+  private handleToken (text: string, id: string | undefined): void {
     this.firstTokenAt ??= performance.now()
     this.lastTokenAt = performance.now()
     this.texts.push(text)
     this.inOrder &&= id === undefined || Number(id) === this.texts.length
   }
 
-  tokens (): number {
+  tokenCount (): number {
     return this.texts.length
   }
 
-  judge (arrival: Arrival): AnswerState {
+  checkAnswer (arrival: Arrival): AnswerState {
     if (this.error) {
       return AnswerState.Failed
     }
