--- a/packages/foxtaillever-load/src/deployment/createFirstChanges.ts
+++ b/packages/foxtaillever-load/src/deployment/createFirstChanges.ts
@@ -1,11 +1,11 @@
-/** The first configuration of a stand-in deployment: accounts, backend servers, model, plain service, preset. */
+/** Creates the first configuration of a stand-in deployment: accounts, backend servers, model, plain service, preset. */
 import { createPreset, PresetName, ServerKind, type BackendServer, type Preset } from 'foxtaillever-core'
 import { ChangeKind, type Change } from 'foxtaillever-fleet'
 import { digestKey } from 'foxtaillever-router'
 import { keyOf } from './keyOf.js'
 import type { AccountShape, Shape } from './shape.js'
 
-/** Limits of an account, far above what a run sends: experiments show the fleet's limits, not these. */
+/** Account limits far above what a run sends, so that experiments measure the limits of the fleet. */
 const TOKENS_PER_SECOND = 1_000_000
 const CONCURRENT_REQUESTS = 1000
 
--- a/packages/foxtaillever-load/src/deployment/embeddedDeployment.ts
+++ b/packages/foxtaillever-load/src/deployment/embeddedDeployment.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment in one process, on loopback: stand-ins of the platform,
- * engines and plain services, and several entry instances before them.
+ * A complete deployment in one process, on loopback: stand-ins for the platform,
+ * engines and plain services, and several entry instances in front of them.
  */
 import type { FastifyInstance } from 'fastify'
 import {
@@ -24,28 +24,28 @@
 const LOG_RETENTION_MS = 86_400_000
 const LOG_APPENDS_PER_SECOND = 300
 
-/** Known to this deployment alone, which listens on loopback. */
+/** Used by this deployment only, which listens on loopback. */
 const MEMBER_KEYS = [{ id: 'embedded', secret: 'a key of the embedded deployment', permissions: [Permission.Join, Permission.Publish, Permission.Order] }]
 
 export const OPERATOR = 'operator'
 export const OPERATOR_TOKEN = 'token-of-the-embedded-operator'
 const KEPT_CACHE_TOKENS = 4_000_000
 
-/** The user's trusted caller of orders; half of the engines check it. */
+/** Callers from which engines accept orders; half of the engines check it. */
 const TRUSTED_CALLERS = ['foxtaillever']
 
 export interface DeploymentOptions {
   readonly shape: Shape
   readonly placement?: PlacementPolicy
-  /** Differences to the preset for ordinary days. */
+  /** Overrides of the preset for ordinary days. */
   readonly preset?: Partial<Preset>
   readonly seed: number
-  /** Differences to the limits of entry instances. */
+  /** Overrides of the limits of entry instances. */
   readonly limits?: Partial<InstanceLimits>
 }
 
-/** Every other engine checks fencing numbers and callers of orders; the rest ignore both. */
-function isStrict (index: number): boolean {
+/** Every second engine checks fencing numbers and callers of orders; the others ignore both. */
+function hasStrictChecks (index: number): boolean {
   return index % 2 === 0
 }
 
@@ -74,20 +74,20 @@
   private async startAll (): Promise<void> {
     const logAddress = await this.listen(createLogServer(this.log, this.clock))
     const listAddress = await this.listen(createInstanceListServer(this.list))
-    const workers = await Promise.all(this.names('worker', this.options.shape.workers).map(async (name, index) => await this.startEngine(name, index)))
-    const plains = await Promise.all(this.names('plain', this.options.shape.plainWorkers).map(async (name, index) => await this.startPlain(name, index)))
+    const workers = await Promise.all(this.createNames('worker', this.options.shape.workers).map(async (name, index) => await this.startEngine(name, index)))
+    const plains = await Promise.all(this.createNames('plain', this.options.shape.plainWorkers).map(async (name, index) => await this.startPlain(name, index)))
     this.publish([...workers, ...plains])
-    for (const [index, name] of this.names('entry', this.options.shape.instances).entries()) {
+    for (const [index, name] of this.createNames('entry', this.options.shape.instances).entries()) {
       await this.startInstance(name, index, logAddress, listAddress)
     }
     await this.waitUntilReady()
   }
 
-  private names (kind: string, count: number): string[] {
+  private createNames (kind: string, count: number): string[] {
     return Array.from({ length: count }, (_, index) => `${kind}-${index + 1}`)
   }
 
-  private domainOf (index: number): string {
+  private failureDomainOf (index: number): string {
     const { failureDomains } = this.options.shape
     return failureDomains[index % failureDomains.length] ?? ''
   }
@@ -111,8 +111,8 @@
       cacheKeptMs: shape.cacheKeptMs,
       eventLagMs: shape.reportLagMs,
       loadLagMs: shape.reportLagMs,
-      checksFencing: isStrict(index),
-      ...(isStrict(index) ? { trustedCallers: TRUSTED_CALLERS } : {})
+      checksFencing: hasStrictChecks(index),
+      ...(hasStrictChecks(index) ? { trustedCallers: TRUSTED_CALLERS } : {})
     }, this.clock, {
       random: SeededRandom.create(this.options.seed + index),
       weightStore: this.weightStore,
@@ -120,7 +120,7 @@
     })
     this.engines.set(name, model)
     const address = await this.listen(createEngineServer(model))
-    this.enlist({ name, kind: ListedKind.BackendServer, address, failureDomain: this.domainOf(index), state: ListedState.Live })
+    this.addToInstanceList({ name, kind: ListedKind.BackendServer, address, failureDomain: this.failureDomainOf(index), state: ListedState.Live })
     return this.describeServer(name, ServerKind.Language, address, index, [shape.model])
   }
 
@@ -128,11 +128,11 @@
     const plain = createPlainServer()
     this.plains.push(plain)
     const address = await this.listen(plain.server)
-    this.enlist({ name, kind: ListedKind.BackendServer, address, failureDomain: this.domainOf(index), state: ListedState.Live })
+    this.addToInstanceList({ name, kind: ListedKind.BackendServer, address, failureDomain: this.failureDomainOf(index), state: ListedState.Live })
     return this.describeServer(name, ServerKind.Plain, address, index, [])
   }
 
-  private enlist (instance: ListedInstance): void {
+  private addToInstanceList (instance: ListedInstance): void {
     this.list.setInstance(instance)
   }
 
@@ -142,14 +142,14 @@
       name,
       kind,
       address,
-      failureDomain: this.domainOf(index),
+      failureDomain: this.failureDomainOf(index),
       models,
       slots: shape.slots,
       prefillTokensPerSecond: shape.prefillTokensPerSecond,
       decodeTokensPerSecond: shape.decodeTokensPerSecond,
       cacheTokens: shape.cacheTokens,
-      checksFencing: isStrict(index),
-      checksCaller: isStrict(index),
+      checksFencing: hasStrictChecks(index),
+      checksCaller: hasStrictChecks(index),
       state: AdministrativeState.InService
     }
   }
@@ -163,7 +163,7 @@
   private async startInstance (name: string, index: number, logAddress: string, listAddress: string): Promise<void> {
     const instance = EntryInstance.create({
       name,
-      failureDomain: this.domainOf(index),
+      failureDomain: this.failureDomainOf(index),
       listen: { host: HOST, port: 0 },
       control: { host: HOST, port: 0 },
       gossip: { host: HOST, port: 0 },
@@ -185,7 +185,7 @@
     this.addresses.push(entry.callers)
   }
 
-  /** Control addresses of the entry instances, as the command line wants them. */
+  /** Control addresses of the entry instances, in the form that the command line expects. */
   controlAddresses (): readonly string[] {
     return this.entries.map(entry => entry.control)
   }
--- a/packages/foxtaillever-load/src/deployment/instanceLimits.ts
+++ b/packages/foxtaillever-load/src/deployment/instanceLimits.ts
@@ -1,4 +1,4 @@
-/** Limits on callers that the entry instances of this tool are given. */
+/** Limits on callers that this tool configures for its entry instances. */
 import type { InstanceLimits } from 'foxtaillever-router'
 
 export const instanceLimits: InstanceLimits = {
--- a/packages/foxtaillever-load/src/deployment/keyOf.ts
+++ b/packages/foxtaillever-load/src/deployment/keyOf.ts
@@ -1,4 +1,4 @@
-/** The API key of an account of the stand-in deployments. */
+/** Returns the API key of an account of the stand-in deployments. */
 export function keyOf (account: string): string {
   return `key-of-${account}`
 }
--- a/packages/foxtaillever-load/src/deployment/shape.ts
+++ b/packages/foxtaillever-load/src/deployment/shape.ts
@@ -1,5 +1,5 @@
 /**
- * The two deployments of today as data: failure domains, workers, client
+ * Describes the two current deployments: failure domains, workers, client
  * accounts. Rates are those of the stand-in engines, scaled to one machine.
  */
 import { PriorityClass } from 'foxtaillever-core'
@@ -8,7 +8,7 @@
   readonly name: string
   readonly weight: number
   readonly priority: PriorityClass
-  /** Share of arrivals. */
+  /** Relative share of arrivals. */
   readonly arrivals: number
 }
 
@@ -40,13 +40,13 @@
   /** Shares of arrivals that go to the plain service, 0 to 1. */
   readonly lookupShare: number
   readonly exportShare: number
-  /** The hot catalogue and tenant of each account move on after this long, milliseconds. */
+  /** Interval after which the most requested catalogue and tenant of each account change, milliseconds. */
   readonly hotShiftMs: number
-  /** One way between caller and entry instance, milliseconds. */
+  /** One-way network delay between caller and entry instance, milliseconds. */
   readonly clientDelayMs: number
-  /** How late engines' load reports and cache events are, milliseconds. */
+  /** Delay of engines' load reports and cache events, milliseconds. */
   readonly reportLagMs: number
-  /** Arrivals a second that load the workers well without filling them. */
+  /** Arrivals per second that keep the workers busy without reaching their capacity. */
   readonly requestsPerSecond: number
 }
 
@@ -64,7 +64,7 @@
   }))
 }
 
-/** The first account is the law firm, whose work goes first. */
+/** The first account is the law firm, whose requests have priority. */
 function createLegalAccounts (): AccountShape[] {
   return createAccounts().map((account, index) => index === 0
     ? { ...account, name: 'law-firm', priority: PriorityClass.Priority }
