--- a/packages/foxtaillever-load/src/faults/fault.ts
+++ b/packages/foxtaillever-load/src/faults/fault.ts
@@ -1,7 +1,7 @@
 /**
- * Faults at given times of a run: `AT TARGET NAME=VALUE ...`, for example
+ * Parses faults that are injected at given times of a run: `SECONDS TARGET NAME=VALUE ...`, for example
  * `5 worker-2 slowFactor=8` or `10 log outage=true`. Names are those of the
- * stand-ins' control routes; `crash=true` and `leave=true` act at once.
+ * stand-ins' control routes; `crash=true` and `leave=true` take effect at once.
  */
 import { Left, Right, type Either } from 'purify-ts'
 
@@ -28,7 +28,7 @@
   const seconds = Number(at)
   const entries = pairs.map(pair => pair.split('='))
   if (at === '' || !Number.isFinite(seconds) || seconds < 0 || target === '' || entries.length === 0 || entries.some(entry => entry.length !== 2)) {
-    return Left(`A fault reads "SECONDS TARGET NAME=VALUE ...", not "${text}".`)
+    return Left(`Invalid fault "${text}": expected "SECONDS TARGET NAME=VALUE ...".`)
   }
   const changes = Object.fromEntries(entries.map(([name = '', value = '']) => [name, readValue(value)]))
   return Right({ offsetMs: seconds * 1000, target, changes })
