--- a/packages/foxtaillever-load/src/results/checkPromises.ts
+++ b/packages/foxtaillever-load/src/results/checkPromises.ts
@@ -1,7 +1,7 @@
 /**
- * Compares what callers were told with what engines and plain services of an
- * embedded deployment counted: a refusal "not run" whose request did run, and an
- * export that ran twice, are the two lies that hurt most.
+ * Compares the answers that callers received with what engines and plain
+ * services of an embedded deployment counted. The two most harmful false answers
+ * are a refusal "not run" of a request that did run, and an export that ran twice.
  */
 import { Verdict } from 'foxtaillever-core'
 import type { EmbeddedDeployment } from '../deployment/embeddedDeployment.js'
@@ -10,20 +10,20 @@
 import { arrivalOf } from '../workload/exportKey.js'
 
 export interface PromiseCheck {
-  /** Refused with the verdict "not run", and yet run. */
+  /** Requests that ran although they were refused with the verdict "not run". */
   readonly ranThoughNotRun: number
   /** Exports that ran more than once. */
   readonly doubledExports: number
-  /** Exports whose answer was complete and that never ran. */
+  /** Exports that never ran although their answer was complete. */
   readonly lostExports: number
 }
 
-/** The router makes a caller's request id unique with a dot and more. */
-function callersId (requestId: string): string {
+/** Removes the suffix, a dot and further characters, by which the router makes a caller's request id unique. */
+function callerRequestId (requestId: string): string {
   return requestId.split('.')[0] ?? ''
 }
 
-/** Runs of each export over all plain servers. */
+/** Counts how often each export ran on all plain servers together. */
 function countExports (deployment: EmbeddedDeployment): Map<string, number> {
   const counts = new Map<string, number>()
   for (const [key, runs] of deployment.plains.flatMap(plain => [...plain.exports])) {
@@ -34,7 +34,7 @@
 }
 
 export function checkPromises (deployment: EmbeddedDeployment, answers: readonly Answer[]): PromiseCheck {
-  const ran = new Set([...deployment.engines.values()].flatMap(engine => [...engine.runs.keys()].map(callersId)))
+  const ran = new Set([...deployment.engines.values()].flatMap(engine => [...engine.runs.keys()].map(callerRequestId)))
   const exports = countExports(deployment)
   const exportsOf = (id: string): number => exports.get(id) ?? 0
   const exported = answers.filter(answer => answer.arrival.kind === ArrivalKind.Export)
--- a/packages/foxtaillever-load/src/results/results.ts
+++ b/packages/foxtaillever-load/src/results/results.ts
@@ -1,4 +1,4 @@
-/** Results of one run as data; the JSON file holds exactly this. */
+/** Results of one run; the JSON file has exactly these fields. */
 import { ArrivalKind } from '../workload/arrival.js'
 import type { Answer } from '../workload/answer.js'
 import type { Fault } from '../faults/fault.js'
@@ -31,14 +31,14 @@
   readonly firstTokenCurve: readonly CurvePoint[]
   /** Refusals and failures by code and verdict. */
   readonly failures: Readonly<Record<string, number>>
-  /** Undefined when the engines are out of this tool's sight. */
+  /** Undefined when this tool has no access to the engines. */
   readonly promises: PromiseCheck | undefined
-  /** Delay of this process's event loop, p99; figures are suspect where it is large. */
+  /** Delay of this process's event loop, p99; a large delay makes the figures unreliable. */
   readonly loopDelayP99Ms: number
 }
 
 /** Percentiles of the plotted curve. */
-const CURVE = [0, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 100]
+const CURVE_PERCENTILES = [0, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 100]
 
 export interface ResultInput {
   readonly settings: RunSettings
@@ -70,7 +70,7 @@
     summary: summarize(answers),
     accounts: summarizeAccounts(answers),
     series: createSeries(answers),
-    firstTokenCurve: CURVE.map(percentile => ({ percentile, ms: percentileMs(firstToken, percentile) })),
+    firstTokenCurve: CURVE_PERCENTILES.map(percentile => ({ percentile, ms: percentileMs(firstToken, percentile) })),
     failures: countFailures(answers),
     promises,
     loopDelayP99Ms
--- a/packages/foxtaillever-load/src/results/series.ts
+++ b/packages/foxtaillever-load/src/results/series.ts
@@ -1,4 +1,4 @@
-/** What happened second by second, by intended start. */
+/** Summarizes answers for each second of the run, by intended start. */
 import { AnswerState, type Answer } from '../workload/answer.js'
 import { summarize } from './summarize.js'
 
--- a/packages/foxtaillever-load/src/results/summarize.ts
+++ b/packages/foxtaillever-load/src/results/summarize.ts
@@ -1,4 +1,4 @@
-/** Sums answers up into what the users measure. */
+/** Summarizes answers in the figures that users measure. */
 import { build, type Histogram } from 'hdr-histogram-js'
 import { AnswerState, type Answer } from '../workload/answer.js'
 import { ArrivalKind } from '../workload/arrival.js'
@@ -19,17 +19,17 @@
   readonly recomputedTokens: number
   /** Prompt tokens computed although an earlier request of the run had the same prefix, over prompt tokens. */
   readonly wastedShare: number
-  /** Of the load tool itself: how late requests left against their intended start. */
+  /** Delay between the intended and the actual sending time of requests; measures the load tool itself. */
   readonly lateP99Ms: number
 }
 
-/** One block of an engine's cache; a prefix is cached in whole blocks. */
+/** Tokens in one block of an engine's cache; a prefix is cached in whole blocks. */
 const BLOCK_TOKENS = 16
 
-/** Values are kept in microseconds, three digits each. */
+/** Microseconds per millisecond; histograms store microseconds with three significant digits. */
 const MICROSECONDS = 1000
 
-/** A histogram of milliseconds. */
+/** Creates a histogram of values given in milliseconds. */
 export function createHistogram (values: ReadonlyArray<number | undefined>): Histogram {
   const histogram = build({ numberOfSignificantValueDigits: 3 })
   for (const value of values) {
