--- a/packages/foxtaillever-load/src/faults/fault.ts
+++ b/packages/foxtaillever-load/src/faults/fault.ts
@@ -1,6 +1,6 @@
 /**
- * Parses faults that are injected at given times of a run: `SECONDS TARGET NAME=VALUE ...`, for example
- * `5 worker-2 slowFactor=8` or `10 log outage=true`. Names are those of the
+ * Parses faults that are injected at given times of a run, written
+ * `SECONDS TARGET NAME=VALUE ...`, for example `5 worker-2 slowFactor=8` or `10 log outage=true`. Names are those of the
  * stand-ins' control routes; `crash=true` and `leave=true` take effect at once.
  */
 import { Left, Right, type Either } from 'purify-ts'
