--- a/packages/foxtaillever-load/src/report/htmlReport.ts
+++ b/packages/foxtaillever-load/src/report/htmlReport.ts
@@ -1,18 +1,18 @@
-/** A readable report in one self-contained HTML file: figures, plots, settings. */
+/** Creates a report as one self-contained HTML file: figures, plots, settings. */
 import { drawPage, drawPlots, drawTable, type Row } from 'foxtaillever-telemetry/report/htmlPage'
 import { drawPlot, escapeText, type Plot, type PlotMark } from 'foxtaillever-telemetry/report/svgPlot'
 import { Metric, type Comparison } from '../experiment/compareVariants.js'
 import type { Results } from '../results/results.js'
 import { formatMetric, formatRatio, percent } from './textTable.js'
 
-/** Percentiles spread so that the tail takes most of the room: each nine as much as the last. */
+/** Maps a percentile to a logarithmic axis that widens the tail: 90 to 99 takes as much space as 99 to 99.9. */
 function tailPosition (percentile: number): number {
   return -Math.log10(1 - Math.min(percentile, 99.99) / 100)
 }
 
 const CURVE_TICKS: readonly PlotMark[] = [0, 50, 90, 95, 99, 99.9].map(percentile => ({ x: tailPosition(percentile), label: `p${percentile}` }))
 
-function plotsOf (runs: readonly Results[]): string {
+function renderPlots (runs: readonly Results[]): string {
   const marks = (runs[0]?.settings.faults ?? []).map(fault => ({
     x: fault.offsetMs / 1000,
     label: `${fault.target} ${Object.entries(fault.changes).map(([name, value]) => `${name}=${value}`).join(' ')}`
@@ -40,14 +40,14 @@
   return drawPlots(plots.map(drawPlot))
 }
 
-function settingsOf ({ settings, node, startedAt }: Results): string {
+function renderSettings ({ settings, node, startedAt }: Results): string {
   return drawTable(['setting', 'value'], [
     ['shape', settings.shape], ['seed', String(settings.seed)], ['requests a second', String(settings.requestsPerSecond)],
     ['seconds', String(settings.seconds)], ['node', node], ['made at', startedAt]
   ])
 }
 
-function accountsOf (results: Results): string {
+function renderAccounts (results: Results): string {
   return drawTable(
     ['client account', 'requests', 'complete', 'refused', 'broken', 'first token p50', 'p95', 'p99', 'prefix hit rate'],
     Object.entries(results.accounts).map(([name, summary]) => [
@@ -56,7 +56,7 @@
     ]))
 }
 
-function warningsOf (results: Results): string {
+function renderWarnings (results: Results): string {
   const { promises, summary } = results
   const broken = promises ? promises.ranThoughNotRun + promises.doubledExports + promises.lostExports : 0
   const lines = [
@@ -66,7 +66,7 @@
   return lines.map(line => `<p class="bad">${escapeText(line)}</p>`).join('')
 }
 
-function figuresOf (results: Results): string {
+function renderFigures (results: Results): string {
   const { summary } = results
   return drawTable(['figure', 'value'], [
     ['requests', String(summary.requests)],
@@ -84,8 +84,8 @@
 
 export function createRunReport (results: Results): string {
   return drawPage(`foxtaillever-load: ${results.settings.variant} on ${results.settings.shape}`, [
-    warningsOf(results), figuresOf(results), plotsOf([results]),
-    '<h2>Client accounts</h2>', accountsOf(results), '<h2>Settings</h2>', settingsOf(results)
+    renderWarnings(results), renderFigures(results), renderPlots([results]),
+    '<h2>Client accounts</h2>', renderAccounts(results), '<h2>Settings</h2>', renderSettings(results)
   ])
 }
 
@@ -97,11 +97,11 @@
   ])
   const first = outcomes[0]?.results
   return drawPage(`foxtaillever-load: ${outcomes.map(outcome => outcome.name).join(' against ')} on ${comparison.shape}`, [
-    ...outcomes.map(outcome => warningsOf(outcome.results)),
+    ...outcomes.map(outcome => renderWarnings(outcome.results)),
     `<p>Ratios are to ${escapeText(outcomes[0]?.name ?? '')}: geometric mean over the segments, in brackets the smallest and the largest.</p>`,
     drawTable(['figure', ...outcomes.map(outcome => outcome.name)], rows),
-    plotsOf(outcomes.map(outcome => outcome.results)),
-    ...outcomes.map(outcome => `<h2>Client accounts: ${escapeText(outcome.name)}</h2>${accountsOf(outcome.results)}`),
-    '<h2>Settings</h2>', first ? settingsOf(first) : ''
+    renderPlots(outcomes.map(outcome => outcome.results)),
+    ...outcomes.map(outcome => `<h2>Client accounts: ${escapeText(outcome.name)}</h2>${renderAccounts(outcome.results)}`),
+    '<h2>Settings</h2>', first ? renderSettings(first) : ''
   ])
 }
--- a/packages/foxtaillever-load/src/report/textTable.ts
+++ b/packages/foxtaillever-load/src/report/textTable.ts
@@ -1,12 +1,12 @@
-/** Tables for a terminal. */
+/** Formats results as text tables for a terminal. */
 import { Metric, metricValues, type Comparison, type VariantOutcome } from '../experiment/compareVariants.js'
 import type { Ratio } from '../experiment/ratio.js'
 import type { Results } from '../results/results.js'
 
 type Row = readonly string[]
 
-/** Columns padded to their widest cell. */
-function align (rows: readonly Row[]): string {
+/** Pads the cells of each column to its widest cell. */
+function alignColumns (rows: readonly Row[]): string {
   const widths = (rows[0] ?? []).map((_, column) => Math.max(...rows.map(row => row[column]?.length ?? 0)))
   return rows.map(row => row.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join('  ').trimEnd() + '\n').join('')
 }
@@ -30,7 +30,7 @@
   if (promises) {
     rows.push(['promises broken', `${promises.ranThoughNotRun} ran though "not run", ${promises.doubledExports} exports doubled, ${promises.lostExports} lost`])
   }
-  return align(rows)
+  return alignColumns(rows)
 }
 
 const formats: Record<Metric, (value: number) => string> = {
@@ -51,10 +51,10 @@
   return ratio.pairs === 0 ? 'no figure' : `x${ratio.mean.toFixed(2)} (${ratio.smallest.toFixed(2)}-${ratio.largest.toFixed(2)})`
 }
 
-/** One row a figure, one column a variant; ratios against the first, with the spread over segments. */
+/** One row per metric, one column per variant; ratios to the first variant, with the spread over segments. */
 export function formatComparison ({ outcomes }: Comparison): string {
   const metrics = Object.values(Metric)
-  return align([
+  return alignColumns([
     ['', ...outcomes.map(outcome => outcome.name)],
     ...metrics.map(metric => [metric, ...outcomes.map((outcome, index) =>
       index === 0 ? formatMetric(metric, outcome) : `${formatMetric(metric, outcome)} ${formatRatio(outcome.ratios[metric])}`)])
