--- a/packages/foxtaillever-load/src/commands/experimentCommand.ts
+++ b/packages/foxtaillever-load/src/commands/experimentCommand.ts
@@ -1,4 +1,4 @@
-/** What run and compare share: their options, checked, and where results go. */
+/** Base of the commands run and compare: validates their options and writes results. */
 import { mkdir, writeFile } from 'node:fs/promises'
 import { dirname } from 'node:path'
 import { Command, Option, UsageError } from 'clipanion'
@@ -11,11 +11,11 @@
 import type { Results } from '../results/results.js'
 
 export enum ExitCode {
-  /** Every answer complete or refused, every promise kept. */
+  /** Every answer was complete or refused, and every promise was kept. */
   Kept = 0,
-  /** An answer was failed, cut or wrong, or a promise broken. */
+  /** An answer was failed, cut or wrong, or a promise was broken. */
   Broken = 1,
-  /** The settings were refused. */
+  /** The settings were invalid. */
   Usage = 2
 }
 
@@ -38,7 +38,7 @@
   html = Option.String('--html', { description: 'Write a report to this file.' })
   quiet = Option.Boolean('--quiet', false, { description: 'Print no progress.' })
 
-  /** The work of the command; settings that it refuses are thrown. */
+  /** Executes the command; throws a UsageError for invalid settings. */
   protected abstract perform (): Promise<ExitCode>
 
   async execute (): Promise<number> {
@@ -98,7 +98,7 @@
     return { placement }
   }
 
-  /** Options of an experiment but for what tells its variants apart. */
+  /** Options of an experiment that all variants share. */
   protected options (seconds: string): Omit<ExperimentOptions, 'variant' | 'preset' | 'targets'> {
     const shape = this.shape()
     const template = this.keyTemplate
--- a/packages/foxtaillever-load/src/commands/look.ts
+++ b/packages/foxtaillever-load/src/commands/look.ts
@@ -1,6 +1,6 @@
 import { Command, Option } from 'clipanion'
 import { shapes } from '../deployment/shape.js'
-import { measureLooking, type Looking } from '../experiment/measureLooking.js'
+import { measureInspectionCost, type InspectionCost } from '../experiment/measureInspectionCost.js'
 
 export class LookCommand extends Command {
   static override paths = [['look']]
@@ -21,20 +21,20 @@
       this.context.stderr.write(`No shape ${this.shapeName}. Name one of ${Object.keys(shapes).join(', ')}.\n`)
       return 2
     }
-    const looking = await measureLooking({
+    const cost = await measureInspectionCost({
       shape,
       seed: Number(this.seed),
       requestsPerSecond: Number(this.rate ?? shape.requestsPerSecond),
       seconds: Number(this.seconds),
       pairs: Number(this.pairs)
     })
-    this.context.stdout.write(format(looking))
+    this.context.stdout.write(format(cost))
     return 0
   }
 }
 
-function format ({ quiet, lookedAt, dumps, explanations, largestDumpBytes }: Looking): string {
-  const row = (name: string, one: number, other: number): string => `${name.padEnd(24)}${one.toFixed(1).padStart(10)}${other.toFixed(1).padStart(12)}${((other / one - 1) * 100).toFixed(1).padStart(10)} %\n`
+function format ({ quiet, lookedAt, dumps, explanations, largestDumpBytes }: InspectionCost): string {
+  const row = (name: string, quietValue: number, inspectedValue: number): string => `${name.padEnd(24)}${quietValue.toFixed(1).padStart(10)}${inspectedValue.toFixed(1).padStart(12)}${((inspectedValue / quietValue - 1) * 100).toFixed(1).padStart(10)} %\n`
   return [
     `${''.padEnd(24)}${'quiet'.padStart(10)}${'looked at'.padStart(12)}${'change'.padStart(12)}\n`,
     row('answers complete', quiet.complete, lookedAt.complete),
--- a/packages/foxtaillever-load/src/experiment/compareVariants.ts
+++ b/packages/foxtaillever-load/src/experiment/compareVariants.ts
@@ -1,7 +1,7 @@
 /**
  * Compares variants in one interleaved run: each segment of the seeded workload
  * goes to every variant, in turn and in alternating order, each time on fresh
- * stand-ins. What drifts on the machine meanwhile meets all of them alike.
+ * stand-ins. Gradual changes in the load of the machine so affect all variants alike.
  */
 import { createResults, type Results } from '../results/results.js'
 import type { Summary } from '../results/summarize.js'
@@ -10,7 +10,7 @@
 import { runExperiment, type ExperimentOptions } from './runExperiment.js'
 import type { Variant } from './variant.js'
 
-/** Figures whose ratio is told, and how they are named. */
+/** Metrics whose ratio is reported, with their printed names. */
 export enum Metric {
   FirstTokenP50 = 'first token p50',
   FirstTokenP95 = 'first token p95',
@@ -32,7 +32,7 @@
 }
 
 export interface ComparisonOptions extends Omit<ExperimentOptions, 'variant' | 'preset' | 'targets'> {
-  /** The first one is what the others are compared with. */
+  /** The first variant is the baseline of the others. */
   readonly variants: readonly Variant[]
   readonly segments: number
   readonly onSegment?: (segment: number, results: Results) => void
@@ -43,7 +43,7 @@
   /** Over all segments. */
   readonly results: Results
   readonly segments: readonly Summary[]
-  /** Against the first variant; for the first one all are 1. */
+  /** Ratios to the first variant; for the first variant all are 1. */
   readonly ratios: Readonly<Record<Metric, Ratio>>
 }
 
@@ -53,13 +53,13 @@
   readonly outcomes: readonly VariantOutcome[]
 }
 
-interface Gathered {
+interface VariantRuns {
   readonly answers: Answer[]
   readonly runs: Results[]
 }
 
 export async function compareVariants (options: ComparisonOptions): Promise<Comparison> {
-  const gathered = new Map(options.variants.map(({ name }): [string, Gathered] => [name, { answers: [], runs: [] }]))
+  const gathered = new Map(options.variants.map(({ name }): [string, VariantRuns] => [name, { answers: [], runs: [] }]))
   for (let segment = 0; segment < options.segments; segment++) {
     const order = segment % 2 === 0 ? options.variants : options.variants.toReversed()
     for (const variant of order) {
--- a/packages/foxtaillever-load/src/experiment/measureInspectionCost.ts
+++ b/packages/foxtaillever-load/src/experiment/measureInspectionCost.ts
@@ -1,8 +1,9 @@
 /**
- * What it costs callers that operators look: dumps of all instances and
- * explanations under load. Quiet and looked-at segments of the same arrivals
- * follow each other on one deployment, in alternating order, so that what
- * drifts on the machine meanwhile meets both alike.
+ * Measures how callers are affected when operators request dumps of all
+ * instances and explanations under load. Segments without and with these
+ * requests, of the same arrivals, follow each other on one deployment in
+ * alternating order, so that gradual changes in the load of the machine affect
+ * both alike.
  */
 import { PlacementPolicy, SeededRandom } from 'foxtaillever-core'
 import { ControlClient } from 'foxtaillever-control'
@@ -13,7 +14,7 @@
 import { createArrivals } from '../workload/createArrivals.js'
 import { runArrivals } from '../workload/runArrivals.js'
 
-export interface LookingOptions {
+export interface InspectionCostOptions {
   readonly shape: Shape
   readonly seed: number
   readonly requestsPerSecond: number
@@ -23,19 +24,19 @@
   readonly pairs: number
 }
 
-export interface Looking {
+export interface InspectionCost {
   readonly quiet: Summary
   readonly lookedAt: Summary
   readonly dumps: number
   readonly explanations: number
-  /** Of the largest dump, as JSON. */
+  /** Size of the largest dump as JSON. */
   readonly largestDumpBytes: number
 }
 
-/** All instances are dumped and asked for an explanation this often, milliseconds. */
-const LOOK_PERIOD_MS = 1000
+/** Interval at which a dump and an explanation are requested from every instance, milliseconds. */
+const POLL_INTERVAL_MS = 1000
 
-class Onlooker {
+class OperatorPoller {
   private readonly clients: readonly ControlClient[]
   private running = true
   dumps = 0
@@ -46,15 +47,15 @@
     this.clients = deployment.entries.map(({ control }) => ControlClient.create(control, OPERATOR_TOKEN))
   }
 
-  static create (deployment: EmbeddedDeployment): Onlooker {
-    return new Onlooker(deployment)
+  static create (deployment: EmbeddedDeployment): OperatorPoller {
+    return new OperatorPoller(deployment)
   }
 
-  async look (): Promise<void> {
+  async poll (): Promise<void> {
     this.running = true
     while (this.running) {
-      await Promise.all(this.clients.map(async client => await this.lookAt(client)))
-      await new Promise(resolve => setTimeout(resolve, LOOK_PERIOD_MS))
+      await Promise.all(this.clients.map(async client => await this.pollInstance(client)))
+      await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS))
     }
   }
 
@@ -62,7 +63,7 @@
     this.running = false
   }
 
-  private async lookAt (client: ControlClient): Promise<void> {
+  private async pollInstance (client: ControlClient): Promise<void> {
     const dump = await client.dump()
     dump.ifRight(value => {
       this.dumps += 1
@@ -73,9 +74,9 @@
   }
 }
 
-export async function measureLooking ({ shape, seed, requestsPerSecond, seconds, pairs }: LookingOptions): Promise<Looking> {
+export async function measureInspectionCost ({ shape, seed, requestsPerSecond, seconds, pairs }: InspectionCostOptions): Promise<InspectionCost> {
   const deployment = await EmbeddedDeployment.start({ shape, placement: PlacementPolicy.ExpectedFirstToken, seed })
-  const onlooker = Onlooker.create(deployment)
+  const poller = OperatorPoller.create(deployment)
   const answers: Record<'quiet' | 'lookedAt', Answer[]> = { quiet: [], lookedAt: [] }
   const send = async (segment: number): Promise<Answer[]> =>
     await runArrivals(deployment.addresses, createArrivals({ shape, random: SeededRandom.create(seed + segment), requestsPerSecond, seconds }))
@@ -84,13 +85,13 @@
   for (let pair = 1; pair <= pairs; pair++) {
     const order = pair % 2 === 0 ? ['quiet', 'lookedAt'] as const : ['lookedAt', 'quiet'] as const
     for (const kind of order) {
-      const looking = kind === 'lookedAt' ? onlooker.look() : Promise.resolve()
+      const polling = kind === 'lookedAt' ? poller.poll() : Promise.resolve()
       answers[kind].push(...await send(pair))
-      onlooker.stop()
-      await looking
+      poller.stop()
+      await polling
     }
   }
   await deployment.stop()
-  const { dumps, explanations, largestDumpBytes } = onlooker
+  const { dumps, explanations, largestDumpBytes } = poller
   return { quiet: summarize(answers.quiet), lookedAt: summarize(answers.lookedAt), dumps, explanations, largestDumpBytes }
 }
--- a/packages/foxtaillever-load/src/experiment/ratio.ts
+++ b/packages/foxtaillever-load/src/experiment/ratio.ts
@@ -1,4 +1,4 @@
-/** The ratio of two variants over pairs of segments, with its spread. */
+/** Computes the ratio of two variants over pairs of segments, with its spread. */
 
 export interface Ratio {
   /** Geometric mean over the pairs. */
--- a/packages/foxtaillever-load/src/experiment/runExperiment.ts
+++ b/packages/foxtaillever-load/src/experiment/runExperiment.ts
@@ -1,4 +1,4 @@
-/** One run: a deployment or given addresses, seeded arrivals, faults, results. */
+/** Executes one run on an embedded deployment or on given addresses: seeded arrivals, faults, results. */
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import type { Preset } from 'foxtaillever-core'
 import { EmbeddedDeployment } from '../deployment/embeddedDeployment.js'
@@ -21,9 +21,9 @@
   readonly targets: readonly string[]
   readonly seed: number
   readonly requestsPerSecond: number
-  /** Measured time. */
+  /** Duration of the measurement. */
   readonly seconds: number
-  /** Time before it whose answers are checked but not measured. */
+  /** Time before the measurement; its answers are checked but not measured. */
   readonly warmUpSeconds: number
   /** Times count from the end of the warm-up. */
   readonly faults: readonly Fault[]
@@ -45,9 +45,9 @@
 
 const NANOSECONDS_PER_MILLISECOND = 1e6
 
-const PROGRESS_MS = 1000
+const PROGRESS_INTERVAL_MS = 1000
 
-/** Reports once a second what was answered so far. */
+/** Reports once a second how many arrivals have been answered. */
 class ProgressMeter {
   private answered = 0
   private notComplete = 0
@@ -58,14 +58,14 @@
     this.timer = setInterval(() => {
       this.second += 1
       report({ second: this.second, arrivals, answered: this.answered, notComplete: this.notComplete })
-    }, PROGRESS_MS)
+    }, PROGRESS_INTERVAL_MS)
   }
 
   static create (arrivals: number, report: (progress: Progress) => void): ProgressMeter {
     return new ProgressMeter(arrivals, report)
   }
 
-  take (answer: Answer): void {
+  recordAnswer (answer: Answer): void {
     this.answered += 1
     this.notComplete += answer.state === 'complete' ? 0 : 1
   }
@@ -101,7 +101,7 @@
   const delay = monitorEventLoopDelay({ resolution: 1 })
   delay.enable()
   const answers = await runArrivals(addresses, arrivals, {
-    onAnswer: answer => meter.take(answer),
+    onAnswer: answer => meter.recordAnswer(answer),
     ...(options.keyOf ? { keyOf: options.keyOf } : {})
   })
   delay.disable()
