--- a/packages/foxtaillever-load/src/speed/bench.ts
+++ b/packages/foxtaillever-load/src/speed/bench.ts
@@ -1,4 +1,4 @@
-/** The processes of a speed measurement and one measured segment on one of them. */
+/** Starts the processes of a speed measurement and measures segments of load on them. */
 import type { Random } from 'foxtaillever-core'
 import { createHistogram, percentileMs } from '../results/summarize.js'
 import { sendStreams, type StreamLoad } from './sendStreams.js'
@@ -8,7 +8,7 @@
 
 export interface Segment {
   readonly usage: Usage
-  /** Processor time of the subject for one request, its idle cost taken off, milliseconds. */
+  /** Processor time of the subject for one request, without its idle cost, milliseconds. */
   readonly cpuMsPerRequest: number
   readonly firstTokenP50Ms: number
   readonly firstTokenP99Ms: number
@@ -31,7 +31,7 @@
     return new Bench(random, await SubjectProcess.start({ kind: SubjectKind.Upstream, upstream: '', ...SMALL_SIZE }))
   }
 
-  /** Starts a subject, warms it up and measures what it costs when nothing happens. */
+  /** Starts a subject, warms it up and measures its idle processor time. */
   async start (kind: SubjectKind, size: SpeedSize = SMALL_SIZE): Promise<Subject> {
     const process = await SubjectProcess.start({ kind, upstream: this.upstream.address, ...size })
     const subject = new Subject(process, size, this.random)
@@ -46,7 +46,7 @@
 }
 
 export class Subject {
-  /** Processor time when nothing happens, milliseconds a second. */
+  /** Processor time without requests, milliseconds per second. */
   idleCpuMs = 0
 
   constructor (private readonly process: SubjectProcess, private readonly size: SpeedSize, private readonly random: Random) {}
--- a/packages/foxtaillever-load/src/speed/figure.ts
+++ b/packages/foxtaillever-load/src/speed/figure.ts
@@ -28,9 +28,9 @@
   return `${figure.name.padEnd(58)} ${`${round(figure.value)} ${figure.unit}${spread}`.padEnd(34)} ${verdictOf(figure)}`.trimEnd()
 }
 
-/** Figure of several segments: their median, with the spread. */
+/** Creates the figure of several segments: their median, with the spread. */
 export function createFigure (name: string, values: readonly number[], unit: string, target?: number): Figure {
-  const sorted = values.toSorted((one, other) => one - other)
+  const sorted = values.toSorted((a, b) => a - b)
   const value = sorted[Math.floor(sorted.length / 2)] ?? Number.NaN
   const spread = sorted.length > 1 ? { spread: [sorted[0] ?? value, sorted.at(-1) ?? value] as const } : {}
   return { name, value, unit, ...spread, ...(target === undefined ? {} : { target }) }
--- a/packages/foxtaillever-load/src/speed/measureCost.ts
+++ b/packages/foxtaillever-load/src/speed/measureCost.ts
@@ -1,4 +1,4 @@
-/** Processor time per request and per streamed token, and the time added, against the bare pass-through, interleaved. */
+/** Compares the router with the bare pass-through in interleaved segments: processor time per request and per streamed token, and added latency. */
 import { createFigure, type Figure } from './figure.js'
 import type { Bench, Segment, Subject, SegmentLoad } from './bench.js'
 import { SubjectKind } from './subject.js'
@@ -25,7 +25,7 @@
   return { perTokenMs, perRequestMs: short.cpuMsPerRequest - perTokenMs * SHORT.tokens }
 }
 
-/** One after the other in alternating order, so that drift meets both alike. */
+/** Measures both subjects in alternating order, so that gradual changes of the machine affect both alike. */
 async function interleave<Value> (subjects: readonly [Subject, Subject], run: (subject: Subject) => Promise<Value>): Promise<Array<[Value, Value]>> {
   const pairs: Array<[Value, Value]> = []
   for (let segment = 0; segment < SEGMENTS; segment++) {
--- a/packages/foxtaillever-load/src/speed/measureGrowth.ts
+++ b/packages/foxtaillever-load/src/speed/measureGrowth.ts
@@ -1,5 +1,5 @@
 /**
- * How the router's processor time grows with connections, accounts, workers and
+ * Measures how the router's processor time grows with connections, accounts, workers and
  * prompt length: the exponent of the growth between the smallest and the largest
  * size, 1 for linear, 0 for none.
  */
@@ -9,9 +9,9 @@
 import type { Bench, SegmentLoad } from './bench.js'
 import { SMALL_SIZE, type SpeedSize } from './speedShape.js'
 import { SubjectKind } from './subject.js'
-import { BEAT_MS } from './upstream.js'
+import { TOKEN_INTERVAL_MS } from './upstream.js'
 
-/** Linear, with room for the noise of a shared machine. */
+/** Linear growth, with a margin for the noise of a shared machine. */
 const TARGET_EXPONENT = 1.1
 
 /** From the issue that asks for these measurements. */
@@ -40,7 +40,7 @@
   ]
 }
 
-async function onRouter<Value> (bench: Bench, size: SpeedSize, run: (subject: Awaited<ReturnType<Bench['start']>>) => Promise<Value>): Promise<Value> {
+async function measureOnRouter<Value> (bench: Bench, size: SpeedSize, run: (subject: Awaited<ReturnType<Bench['start']>>) => Promise<Value>): Promise<Value> {
   const subject = await bench.start(SubjectKind.Router, size)
   try {
     return await run(subject)
@@ -49,12 +49,12 @@
   }
 }
 
-/** Streams open at once, each of the same token rate; the cost is that of a second. */
+/** Measures numbers of concurrent streams of the same token rate; the cost is that of all requests sent. */
 async function measureConnections (bench: Bench): Promise<Figure[]> {
-  const points = await onRouter(bench, SMALL_SIZE, async subject => {
+  const points = await measureOnRouter(bench, SMALL_SIZE, async subject => {
     const measured: Point[] = []
     for (const size of [20, 80, 320]) {
-      const tokens = SECONDS * 1000 / BEAT_MS
+      const tokens = SECONDS * 1000 / TOKEN_INTERVAL_MS
       const { cpuMsPerRequest, sent } = await subject.load({ requestsPerSecond: size / SECONDS, seconds: SECONDS, tokens, promptTokens: 256 })
       measured.push({ size, cpuMs: cpuMsPerRequest * sent })
     }
@@ -67,7 +67,7 @@
   const points: Point[] = []
   const idle: Figure[] = []
   for (const size of sizes) {
-    await onRouter(bench, size, async subject => {
+    await measureOnRouter(bench, size, async subject => {
       points.push({ size: sizeOf(size), cpuMs: (await subject.load(BASE)).cpuMsPerRequest })
       idle.push(createFigure(`${name}: ${sizeOf(size)}, idle`, [subject.idleCpuMs], 'ms a second'))
     })
@@ -77,7 +77,7 @@
 
 async function measurePrompts (bench: Bench): Promise<Figure[]> {
   const bare = await bench.start(SubjectKind.PassThrough)
-  const figures = await onRouter(bench, SMALL_SIZE, async subject => {
+  const figures = await measureOnRouter(bench, SMALL_SIZE, async subject => {
     const points: Point[] = []
     const stops: Figure[] = []
     for (const promptTokens of [1024, 8192, 65_536]) {
@@ -95,7 +95,7 @@
   return figures
 }
 
-/** The hashing of prompts alone, in this process. */
+/** Measures the hashing of prompts alone, in this process. */
 function measureHashing (): Figure[] {
   return [65_536, 262_144].map(tokens => {
     const messages = [{ role: 'system', content: 'feed '.repeat(Math.ceil(tokens * CHARACTERS_PER_TOKEN / 5)) }]
--- a/packages/foxtaillever-load/src/speed/passThrough.ts
+++ b/packages/foxtaillever-load/src/speed/passThrough.ts
@@ -4,10 +4,10 @@
 import { Pool } from 'undici'
 
 const BODY_LIMIT_BYTES = 8 * 1024 * 1024
-const CONNECTIONS = 2048
+const MAX_CONNECTIONS = 2048
 
 export function createPassThrough (upstream: string): FastifyInstance {
-  const pool = new Pool(`http://${upstream}`, { connections: CONNECTIONS })
+  const pool = new Pool(`http://${upstream}`, { connections: MAX_CONNECTIONS })
   const server = fastify({ bodyLimit: BODY_LIMIT_BYTES, forceCloseConnections: true })
   server.post(EnginePath.ChatCompletions, async (request, reply) => {
     const answer = await pool.request({
--- a/packages/foxtaillever-load/src/speed/sendStreams.ts
+++ b/packages/foxtaillever-load/src/speed/sendStreams.ts
@@ -1,4 +1,4 @@
-/** Sends open-loop streams to a subject and times their first tokens; it looks at bytes only, to stay cheap. */
+/** Sends open-loop streams to a subject and times their first tokens; searches the bytes without parsing them, to keep its own cost low. */
 import { Agent, request } from 'undici'
 import { CallerHeader, EnginePath, exponential, type Random } from 'foxtaillever-core'
 import { keyOf } from '../deployment/keyOf.js'
@@ -21,35 +21,35 @@
   readonly failed: number
 }
 
-const CONNECTIONS = 4096
+const MAX_CONNECTIONS = 4096
 const FIRST_TOKEN = Buffer.from('id: 1\n')
 const CHARACTERS_PER_TOKEN = 4
 
-interface Shot {
+interface PlannedRequest {
   readonly offsetMs: number
   readonly account: string
   readonly body: string
 }
 
-function drawShots (load: StreamLoad): Shot[] {
-  const shots: Shot[] = []
+function planRequests (load: StreamLoad): PlannedRequest[] {
+  const requests: PlannedRequest[] = []
   const prompt = 'feed '.repeat(Math.ceil(load.promptTokens * CHARACTERS_PER_TOKEN / 5))
   for (let offsetMs = 0; ; offsetMs += exponential(load.random, 1000 / load.requestsPerSecond)) {
     if (offsetMs >= load.seconds * 1000) {
-      return shots
+      return requests
     }
-    const messages = [{ role: 'system', content: prompt }, { role: 'user', content: `question ${shots.length}` }]
+    const messages = [{ role: 'system', content: prompt }, { role: 'user', content: `question ${requests.length}` }]
     const body = JSON.stringify({ model: 'm', messages, stream: true, max_tokens: load.tokens })
-    shots.push({ offsetMs, account: `account-${load.random.below(load.accounts)}`, body })
+    requests.push({ offsetMs, account: `account-${load.random.below(load.accounts)}`, body })
   }
 }
 
-async function sendOne (address: string, shot: Shot, intendedAt: number, agent: Agent): Promise<number | undefined> {
+async function sendPlannedRequest (address: string, planned: PlannedRequest, intendedAt: number, agent: Agent): Promise<number | undefined> {
   const answer = await request(`${address}${EnginePath.ChatCompletions}`, {
     dispatcher: agent,
     method: 'POST',
-    headers: { 'content-type': 'application/json', [CallerHeader.Authorization]: `Bearer ${keyOf(shot.account)}` },
-    body: shot.body
+    headers: { 'content-type': 'application/json', [CallerHeader.Authorization]: `Bearer ${keyOf(planned.account)}` },
+    body: planned.body
   })
   let firstTokenMs: number | undefined
   for await (const part of answer.body) {
@@ -61,15 +61,15 @@
 }
 
 export async function sendStreams (load: StreamLoad): Promise<StreamTimes> {
-  const agent = new Agent({ connections: CONNECTIONS })
-  const shots = drawShots(load)
+  const agent = new Agent({ connections: MAX_CONNECTIONS })
+  const requests = planRequests(load)
   const start = performance.now()
-  const times = await Promise.all(shots.map(async shot => {
-    const intendedAt = start + shot.offsetMs
+  const times = await Promise.all(requests.map(async planned => {
+    const intendedAt = start + planned.offsetMs
     await new Promise(resolve => setTimeout(resolve, intendedAt - performance.now()))
-    return await sendOne(load.address, shot, intendedAt, agent).catch(() => undefined)
+    return await sendPlannedRequest(load.address, planned, intendedAt, agent).catch(() => undefined)
   }))
   await agent.destroy()
   const firstTokenMs = times.filter(time => time !== undefined)
-  return { firstTokenMs, sent: shots.length, failed: shots.length - firstTokenMs.length }
+  return { firstTokenMs, sent: requests.length, failed: requests.length - firstTokenMs.length }
 }
--- a/packages/foxtaillever-load/src/speed/speedShape.ts
+++ b/packages/foxtaillever-load/src/speed/speedShape.ts
@@ -1,4 +1,4 @@
-/** The deployment that the measured router believes in: accounts and workers in number, one upstream behind all. */
+/** Deployment that the measured router is configured with: any number of accounts and workers, all workers with the address of one upstream. */
 import { PriorityClass } from 'foxtaillever-core'
 import { shapes, type Shape } from '../deployment/shape.js'
 
--- a/packages/foxtaillever-load/src/speed/startRouter.ts
+++ b/packages/foxtaillever-load/src/speed/startRouter.ts
@@ -1,4 +1,4 @@
-/** A real entry instance before the measuring upstream, configured through a log of its own process. */
+/** Starts a real entry instance in front of the measuring upstream, configured through a log in the same process. */
 import { AdministrativeState, RecordKind, ServerKind, SystemClock, type BackendServer } from 'foxtaillever-core'
 import { Permission } from 'foxtaillever-fleet'
 import { EntryInstance, Logs } from 'foxtaillever-router'
@@ -12,7 +12,7 @@
 const HOST = '127.0.0.1'
 const LOG_RETENTION_MS = 86_400_000
 const LOG_APPENDS_PER_SECOND = 300
-const READY_LOOK_MS = 20
+const READY_POLL_INTERVAL_MS = 20
 
 function describeWorker (shape: Shape, address: string, index: number): BackendServer {
   return {
@@ -62,7 +62,7 @@
   })
   const { callers } = await instance.start()
   while ((await fetch(`${callers}/readyz`)).status !== 200) {
-    await new Promise(resolve => setTimeout(resolve, READY_LOOK_MS))
+    await new Promise(resolve => setTimeout(resolve, READY_POLL_INTERVAL_MS))
   }
   return callers
 }
--- a/packages/foxtaillever-load/src/speed/subject.ts
+++ b/packages/foxtaillever-load/src/speed/subject.ts
@@ -1,4 +1,4 @@
-/** What is measured, each in a process of its own, and the messages to it. */
+/** Subjects of a measurement, each in its own process, and the messages exchanged with them. */
 
 export enum SubjectKind {
   Upstream = 'upstream',
@@ -8,7 +8,7 @@
 
 export interface SubjectSetup {
   readonly kind: SubjectKind
-  /** IP number and port of the upstream; empty for the upstream itself. */
+  /** IP address and port of the upstream; empty for the upstream itself. */
   readonly upstream: string
   readonly accounts: number
   readonly workers: number
@@ -21,7 +21,7 @@
   Usage = 'usage'
 }
 
-/** Since the last one. */
+/** Resource usage since the previous measurement. */
 export interface Usage {
   readonly cpuMs: number
   /** Longest stop of the event loop, milliseconds. */
--- a/packages/foxtaillever-load/src/speed/subjectMain.ts
+++ b/packages/foxtaillever-load/src/speed/subjectMain.ts
@@ -1,4 +1,4 @@
-/** The process of one subject: sets itself up as told, serves, and reports its own processor time. */
+/** The process of one subject: sets itself up as requested, serves, and reports its own processor time. */
 import type { AddressInfo } from 'node:net'
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import { createPassThrough } from './passThrough.js'
--- a/packages/foxtaillever-load/src/speed/subjectProcess.ts
+++ b/packages/foxtaillever-load/src/speed/subjectProcess.ts
@@ -1,4 +1,4 @@
-/** The measuring side of a subject's process. */
+/** Starts a subject's process and requests measurements from it. */
 import { fork, type ChildProcess } from 'node:child_process'
 import { fileURLToPath } from 'node:url'
 import { MessageKind, type Message, type SubjectSetup, type Usage } from './subject.js'
--- a/packages/foxtaillever-load/src/speed/upstream.ts
+++ b/packages/foxtaillever-load/src/speed/upstream.ts
@@ -1,13 +1,13 @@
 /**
- * A cheap upstream for measurements: it speaks the engine's protocol, computes
- * nothing and writes one token to every open stream at each beat, so that tokens
- * reach the measured process one by one, as from an engine.
+ * A cheap upstream for measurements: it implements the engine's protocol, computes
+ * nothing and writes one token to every open stream at each interval, so that
+ * tokens reach the measured process one by one, as from an engine.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { EnginePath, StreamEvent, type LoadReport, type StreamEnd, type StreamStart } from 'foxtaillever-core'
 
 /** Time between tokens of a stream, milliseconds. */
-export const BEAT_MS = 10
+export const TOKEN_INTERVAL_MS = 10
 
 const WEIGHTS = 'v1'
 const INCARNATION = 'upstream-1'
@@ -37,12 +37,12 @@
 
 export class Upstream {
   private readonly streams = new Set<OpenStream>()
-  private readonly beat: NodeJS.Timeout
+  private readonly tokenTimer: NodeJS.Timeout
   readonly server: Server
 
   private constructor () {
     this.server = createServer((request, response) => this.answer(request, response))
-    this.beat = setInterval(() => this.writeTokens(), BEAT_MS)
+    this.tokenTimer = setInterval(() => this.writeTokens(), TOKEN_INTERVAL_MS)
   }
 
   static create (): Upstream {
@@ -68,7 +68,7 @@
     const stream = { response, tokens, sent: 0 }
     this.streams.add(stream)
     response.on('close', () => this.streams.delete(stream))
-    // Were the first token to wait for the beat, the beat would hide what the subject adds.
+    // The first token is written at once: waiting for the interval would hide the latency that the subject adds.
     setImmediate(() => this.writeToken(stream))
   }
 
@@ -94,7 +94,7 @@
   }
 
   close (): void {
-    clearInterval(this.beat)
+    clearInterval(this.tokenTimer)
     this.server.close()
     this.server.closeAllConnections()
   }
