--- a/packages/foxtaillever-load/src/__fixtures__/withDeployment.ts
+++ b/packages/foxtaillever-load/src/__fixtures__/withDeployment.ts
@@ -1,4 +1,4 @@
-/** A small embedded deployment for tests, stopped whatever happens. */
+/** Runs a test on a small embedded deployment, which is stopped even if the test fails. */
 import { PlacementPolicy } from 'foxtaillever-core'
 import type { InstanceLimits } from 'foxtaillever-router'
 import { EmbeddedDeployment } from '../deployment/embeddedDeployment.js'
@@ -17,7 +17,7 @@
 
 const LOOK_MS = 5
 
-/** Waits until something holds; the test's own time limit ends a wait that is in vain. */
+/** Waits until a condition holds; if it never does, the test's own timeout ends the wait. */
 export async function until (holds: () => boolean): Promise<void> {
   while (!holds()) {
     await new Promise(resolve => setTimeout(resolve, LOOK_MS))
--- a/packages/foxtaillever-load/src/__tests__/badInput.test.ts
+++ b/packages/foxtaillever-load/src/__tests__/badInput.test.ts
@@ -1,4 +1,4 @@
-/** What no caller should send, against running entry instances: a clear error with its verdict, and no effect on others. */
+/** Invalid input to running entry instances: the caller gets a clear error with its verdict, and other callers are not affected. */
 import { connect, type Socket } from 'node:net'
 import type { ExecutionContext } from 'ava'
 import { EnginePath, Verdict } from 'foxtaillever-core'
@@ -101,8 +101,8 @@
       })
     })
 
-    // A caller's line breaks in the middle of its body. Half a prompt must never run, for its answer would
-    // belong to a question that nobody asked.
+    // A caller's connection breaks in the middle of its body. Half a prompt must never run, because its answer
+    // would belong to a question that nobody asked.
     it('that break off run nothing and disturb no one', async t => {
       await withDeployment(async deployment => {
         const body = JSON.stringify(good)
@@ -145,9 +145,9 @@
       })
     })
 
-    // A caller sends its body a few bytes at a time and never ends. A thousand such callers would hold a
-    // thousand connections for ever, and others would find none free. The limit is long enough that
-    // the others' whole requests keep to it on a busy machine.
+    // A caller sends its body a few bytes at a time and never completes it. A thousand such callers would hold
+    // a thousand connections for ever, and other callers would get none. The limit is long enough that the
+    // complete requests of other callers meet it on a busy machine.
     it('of slow senders are ended in time, with the verdict', async t => {
       await withDeployment(async deployment => {
         const answer = await sendRaw(deployment, head(1000) + '{"model"')
@@ -156,8 +156,8 @@
       }, { arrivalTimeoutMs: 3000 })
     })
 
-    // A caller asks for a long answer and does not read it. It may lose its own answer; whoever else is
-    // served by the same instance must not notice.
+    // A caller asks for a long answer and does not read it. It may lose its own answer; other callers of
+    // the same instance must not be affected.
     it('of slow readers hold up no one else, and leave with their callers', async t => {
       await withDeployment(async deployment => {
         const body = JSON.stringify({ ...good, max_tokens: 30_000, stream: true })
--- a/packages/foxtaillever-load/src/__tests__/experiment.test.ts
+++ b/packages/foxtaillever-load/src/__tests__/experiment.test.ts
@@ -48,7 +48,7 @@
       t.true(Object.values(ArrivalKind).every(kind => arrivals.some(arrival => arrival.kind === kind)))
     })
 
-    // Prompts that all fit into one worker's cache would make every policy look alike.
+    // If all prompts fitted into one worker's cache, every policy would have the same results.
     it('share prefixes that fit into the caches of all workers together and not into that of one', t => {
       for (const each of Object.values(shapes)) {
         const catalogues = each.accounts.length * each.catalogues
--- a/packages/foxtaillever-load/src/__tests__/openaiClient.test.ts
+++ b/packages/foxtaillever-load/src/__tests__/openaiClient.test.ts
@@ -83,8 +83,8 @@
       })
     })
 
-    // Every engine dies in the middle of an answer that may not run twice. The caller must learn that its
-    // stream is broken, and not take the half it has for the whole.
+    // Every engine dies in the middle of an answer that may not run twice. The caller must be notified
+    // that its stream is broken, and not take the received half for the complete answer.
     it('sees a broken stream as an error and not as an end', async t => {
       await withDeployment(async deployment => {
         const headers = { 'x-non-idempotent': 'true', 'idempotency-key': `${Date.now()}-order-1` }
@@ -102,8 +102,8 @@
   })
 
   describe('cancel', () => {
-    // A caller leaves in the middle of a long answer. If nobody told the engine, it would go on for minutes
-    // in a slot that others wait for.
+    // A caller disconnects in the middle of a long answer. Without a cancellation the engine would continue
+    // for minutes in a slot that other requests wait for.
     it('stops the engine\'s work when the caller leaves', async t => {
       await withDeployment(async deployment => {
         const engines = [...deployment.engines.values()]
--- a/packages/foxtaillever-load/src/__tests__/promises.test.ts
+++ b/packages/foxtaillever-load/src/__tests__/promises.test.ts
@@ -16,7 +16,7 @@
   isDone: boolean
 }
 
-/** Reads events into the part; ends early once so many tokens came. */
+/** Reads events into the part; stops early after the given number of tokens. */
 async function readInto (part: Part, body: AsyncIterable<Uint8Array>, upTo: number): Promise<void> {
   const decoder = new TextDecoder()
   const parser = createParser({
@@ -40,7 +40,7 @@
   }
 }
 
-/** Begins a stream through one instance and leaves it in the middle. */
+/** Starts a stream through one instance and disconnects in the middle. */
 async function beginAndLeave (deployment: EmbeddedDeployment, prompt: string, part: Part): Promise<string> {
   const answer = await request(`${deployment.addresses[0]}/v1/completions`, {
     method: 'POST',
@@ -54,7 +54,7 @@
 describe('a caller that was cut off', () => {
   it('takes its stream up through another instance, whole and in order', async t => {
     // The entry instance was replaced in the middle of an answer. The engine
-    // still has the stream; without the token the farmer would wait again.
+    // still has the stream; without the token the caller would wait for the whole answer again.
     await withDeployment(async deployment => {
       const prompt = 'Feed for ten sows?'
       const part: Part = { text: '', last: 0, isDone: false }
@@ -69,7 +69,7 @@
   })
 
   it('cannot open the stream of another account', async t => {
-    // The token leaked to a neighbour.
+    // The token leaked to another client account.
     await withDeployment(async deployment => {
       const token = await beginAndLeave(deployment, 'Secret mix', { text: '', last: 0, isDone: false })
       const answer = await request(`${deployment.addresses[1]}/v1/streams/${token}`, { headers: { authorization: `Bearer ${keyOf('account-2')}` } })
--- a/packages/foxtaillever-load/src/__tests__/wholePath.test.ts
+++ b/packages/foxtaillever-load/src/__tests__/wholePath.test.ts
@@ -20,18 +20,18 @@
 
 const headers = { authorization: `Bearer ${keyOf('account-1')}`, 'content-type': 'application/json' }
 
-/** Times that a caller comes back after the word that its export did not run. */
-const MOST_RETURNS = 20
+/** Maximum number of retries of a caller whose export was refused as not run. */
+const MAX_RETRIES = 20
 
 /**
- * Sends an export as its callers do: one that was told that the log did not
- * confirm the claim in time, and so that nothing ran, comes back. On a machine
+ * Sends an export as its callers do: a caller retries after the reply that the
+ * log did not confirm the claim in time and that nothing ran. On a machine
  * without a free processor the log of the same process may need seconds.
  */
-async function exportCase (deployment: EmbeddedDeployment, instance: number, key: string, returns = MOST_RETURNS): Promise<Response> {
+async function exportCase (deployment: EmbeddedDeployment, instance: number, key: string, retries = MAX_RETRIES): Promise<Response> {
   const answer = await fetch(`${deployment.addresses[instance]}/services/records/exports`, { method: 'POST', headers: { ...headers, 'idempotency-key': key }, body: '{}' })
   const isTurnedAway = answer.status === 503 && answer.headers.get('x-verdict') === 'not_run' && answer.headers.has('retry-after')
-  return isTurnedAway && returns > 0 ? await exportCase(deployment, instance, key, returns - 1) : answer
+  return isTurnedAway && retries > 0 ? await exportCase(deployment, instance, key, retries - 1) : answer
 }
 
 function runsOf (deployment: EmbeddedDeployment, key: string): number {
@@ -87,7 +87,7 @@
 
     it('refuses an export whose key does not say how old it is', async t => {
       // Claims leave the log after its retention; a key without a date would
-      // look new a week later and the export would run twice.
+      // be taken for a new key a week later and the export would run twice.
       await withDeployment(async deployment => {
         const answer = await exportCase(deployment, 0, 'export-3')
         t.is(answer.status, 400)
