--- a/packages/foxtaillever-fleet/src/claims/claimManager.ts
+++ b/packages/foxtaillever-fleet/src/claims/claimManager.ts
@@ -137,7 +137,7 @@
     this.cancelAppend?.()
   }
 
-  /** Appends at once, without pending for more claims. */
+  /** Appends at once, without waiting for more claims. */
   private flush (): void {
     const now = this.clock.now()
     if (!this.isAppending && !this.batch.isEmpty() && now >= this.pausedUntil) {
