--- a/packages/foxtaillever-control/src/server/controlFailure.ts
+++ b/packages/foxtaillever-control/src/server/controlFailure.ts
@@ -49,8 +49,8 @@
   // tRPC refuses malformed input and unknown procedures before anything runs.
   const refused = error.code === 'BAD_REQUEST' || error.code === 'NOT_FOUND' || error.code === 'METHOD_NOT_SUPPORTED'
   return refused
-    ? Failure.notRun(FailureCode.BadRequest, 'The instance does not support this call; compare versions.')
-    : Failure.create(FailureCode.Internal, Verdict.MayHaveRun, 'Internal error of the instance; see its log.')
+    ? Failure.notRun(FailureCode.BadRequest, 'The instance does not understand this; compare versions.')
+    : Failure.create(FailureCode.Internal, Verdict.MayHaveRun, 'The instance met an error of its own; its log has more.')
 }
 
 export function toFailureShape (error: TRPCError): FailureShape {
--- a/packages/foxtaillever-fleet/src/claims/refuseClaim.ts
+++ b/packages/foxtaillever-fleet/src/claims/refuseClaim.ts
@@ -24,7 +24,7 @@
   [ClaimDecision.Lost]: refuseLostClaim,
   [ClaimDecision.KeyReused]: () => Failure.notRun(FailureCode.KeyReused, 'The idempotency key was used with another body.'),
   // This attempt did not run, but an earlier one may have, so the caller must not send it under a new key.
-  [ClaimDecision.Expired]: () => Failure.create(FailureCode.ClaimExpired, Verdict.MayHaveRun, 'The idempotency key is older than what the log keeps; this attempt was not run, an earlier one may have been.'),
+  [ClaimDecision.Expired]: () => Failure.create(FailureCode.ClaimExpired, Verdict.MayHaveRun, 'The idempotency key is older than what the log keeps; this sending was not run, an earlier one may have.'),
   [ClaimDecision.Ahead]: () => Failure.notRun(FailureCode.BadRequest, 'The idempotency key is dated in the future.')
 }
 
--- a/packages/foxtaillever-fleet/src/configuration/publisher.ts
+++ b/packages/foxtaillever-fleet/src/configuration/publisher.ts
@@ -103,7 +103,7 @@
         resolve(publication)
       }
     }
-    const cancel = this.clock.at(deadline, () => finish(this.publication(PublicationOutcome.Unknown, entry.id, 'The record was not read from the log in time; the change may still come into force.')))
+    const cancel = this.clock.at(deadline, () => finish(this.publication(PublicationOutcome.Unknown, entry.id, 'The log did not show the record in time; it may still come into force.')))
     this.pending.set(entry.id, { id: entry.id, finish })
     this.log.append(entry).then(
       answer => answer.ifLeft(failure => this.handleAppendFailure(entry.id, failure)),
--- a/packages/foxtaillever-fleet/src/leases/leaseHolder.ts
+++ b/packages/foxtaillever-fleet/src/leases/leaseHolder.ts
@@ -43,7 +43,7 @@
   /** Called right before the first byte of an order is sent; returns the fencing number to send with it. */
   checkLease (): Either<Failure, number> {
     if (this.options.clock.now() >= this.validUntil) {
-      return Left(Failure.notRun(FailureCode.Stale, 'The lease is no longer held; the order was not sent.'))
+      return Left(Failure.notRun(FailureCode.Stale, 'The lease is not held any more; the order was not sent.'))
     }
     return Right(this.fence)
   }
--- a/packages/foxtaillever-policy/src/admission/intake.ts
+++ b/packages/foxtaillever-policy/src/admission/intake.ts
@@ -118,7 +118,7 @@
       return rejection
     }
     const retryAt = Math.ceil(now + displaced.cost / drainRate)
-    displace(displaced, { rule: IntakeRule.Displaced, failure: Failure.notRun(FailureCode.Overloaded, 'Displaced by a request of a higher priority class.', retryAt) })
+    displace(displaced, { rule: IntakeRule.Displaced, failure: Failure.notRun(FailureCode.Overloaded, 'Requests of a higher class took the place.', retryAt) })
     return undefined
   }
 
--- a/packages/foxtaillever-policy/src/services/serviceLimiter.ts
+++ b/packages/foxtaillever-policy/src/services/serviceLimiter.ts
@@ -75,7 +75,7 @@
   acquireSlot (call: ServiceCall, now: number, listener: SlotListener): void {
     const state = this.services.get(call.service)
     if (!state) {
-      listener(Left(Failure.notRun(FailureCode.UnknownRoute, 'The service is not configured.')))
+      listener(Left(Failure.notRun(FailureCode.UnknownRoute, 'No such service is configured.')))
       return
     }
     const refusal = this.checkRefusal(state, call, now)
@@ -150,7 +150,7 @@
       return Failure.notRun(FailureCode.Overloaded, 'Too many calls wait for the service.', Math.ceil(now + state.meanCallMs / limit))
     }
     if (waitMs > call.deadline - now) {
-      return Failure.notRun(FailureCode.DeadlineUnreachable, 'The queue of the service is too long for the deadline.', Math.ceil(now + waitMs - (call.deadline - now)))
+      return Failure.notRun(FailureCode.DeadlineUnreachable, 'Too many calls wait for the deadline.', Math.ceil(now + waitMs - (call.deadline - now)))
     }
     return undefined
   }
--- a/packages/foxtaillever-relay/src/exchange/findRefusal.ts
+++ b/packages/foxtaillever-relay/src/exchange/findRefusal.ts
@@ -6,7 +6,7 @@
 
 export function findRefusal (exchange: Exchange, suspects: Pick<SuspectRegistry, 'isRefused' | 'refusedUntil'>, now: number): Failure | undefined {
   if (exchange.deadline <= now) {
-    return Failure.notRun(FailureCode.DeadlinePassed, 'The deadline passed before the request was read completely.', earliestRetryTime(FailureCode.DeadlinePassed, now))
+    return Failure.notRun(FailureCode.DeadlinePassed, 'The deadline passed before the request was read whole.', earliestRetryTime(FailureCode.DeadlinePassed, now))
   }
   return suspects.isRefused(exchange, now)
     ? Failure.notRun(FailureCode.Quarantined, 'This request crashed the backend servers that ran it.', suspects.refusedUntil(exchange))
--- a/packages/foxtaillever-relay/src/limits/accountQuotas.ts
+++ b/packages/foxtaillever-relay/src/limits/accountQuotas.ts
@@ -71,6 +71,6 @@
   private createRefusal ({ outcome, retryAt }: LimitResult): Failure {
     return outcome === LimitOutcome.Refused
       ? Failure.notRun(FailureCode.AccountOverLimit, 'The client account is over its quota.', retryAt)
-      : Failure.notRun(FailureCode.QuotaUnknown, 'No instance that decides on the quota of the client account answers.', earliestRetryTime(FailureCode.QuotaUnknown, this.options.clock.now()))
+      : Failure.notRun(FailureCode.QuotaUnknown, 'Nobody who decides on the quota of the client account answers.', earliestRetryTime(FailureCode.QuotaUnknown, this.options.clock.now()))
   }
 }
--- a/packages/foxtaillever-relay/src/routing/routeTable.ts
+++ b/packages/foxtaillever-relay/src/routing/routeTable.ts
@@ -32,7 +32,7 @@
   find (host: string, target: string): Either<Failure, Route> {
     const path = pathOf(target)
     const route = this.byHost.get(host.toLowerCase())?.find(({ pathPrefix }) => path.startsWith(pathPrefix))
-    return route ? Right(route) : Left(Failure.notRun(FailureCode.UnknownRoute, 'No route matches the host and path of the request.'))
+    return route ? Right(route) : Left(Failure.notRun(FailureCode.UnknownRoute, 'No route leads there.'))
   }
 
   /** Finds the account of the API key; none on a public route, or if the configuration has no accounts. */
--- a/packages/foxtaillever-router/src/adapters/engineClient.ts
+++ b/packages/foxtaillever-router/src/adapters/engineClient.ts
@@ -49,7 +49,7 @@
     const answer = await this.callEngine(this.createCall('GET', EnginePath.Load))
     return answer
       .chain(({ body }) => Either.encase(() => JSON.parse(body.toString('utf8')) as LoadReport))
-      .mapLeft(() => Failure.notRun(FailureCode.ConnectionLost, 'The engine did not report its load.'))
+      .mapLeft(() => Failure.notRun(FailureCode.ConnectionLost, 'The engine does not report its load.'))
   }
 
   /** Keeps no idle connections from now on; open streams are completed. */
--- a/packages/foxtaillever-router/src/adapters/logClient.ts
+++ b/packages/foxtaillever-router/src/adapters/logClient.ts
@@ -36,7 +36,7 @@
       if (answer.statusCode === 200) {
         return Right(JSON.parse(text) as unknown)
       }
-      return Left(Failure.notRun(FailureCode.LogUnavailable, 'The log refused the call.'))
+      return Left(Failure.notRun(FailureCode.LogUnavailable, 'The log refuses the call.'))
     } catch (error) {
       const verdict = isBeforeFirstByte(error) ? Verdict.NotRun : Verdict.MayHaveRun
       return Left(Failure.create(FailureCode.LogUnavailable, verdict, 'The log does not answer.'))
--- a/packages/foxtaillever-router/src/adapters/streamHandler.ts
+++ b/packages/foxtaillever-router/src/adapters/streamHandler.ts
@@ -129,7 +129,7 @@
   onFailed ({ kind, detail }: AttemptFailure): void {
     this.silenceWatch.stop()
     const { code, verdict } = meaningOf[kind]
-    this.fail(Failure.create(code, verdict, `The attempt at the backend server failed: ${detail}`))
+    this.fail(Failure.create(code, verdict, `The try at the backend server failed: ${detail}`))
   }
 
   /** The stream is also silent while it is paused for a slow caller, which is no fault of the engine. */
@@ -164,7 +164,7 @@
 
   private parseEvent<Content> (data: string, handleContent: (content: Content) => void): void {
     Either.encase(() => JSON.parse(data) as Content).caseOf({
-      Left: () => this.attempt.reject('an event that is not JSON'),
+      Left: () => this.attempt.reject('an event that is no JSON'),
       Right: handleContent
     })
   }
--- a/packages/foxtaillever-router/src/callers/answerBrokenRequest.ts
+++ b/packages/foxtaillever-router/src/callers/answerBrokenRequest.ts
@@ -15,7 +15,7 @@
   readonly message: string
 }
 
-const malformed: BrokenRequest = { status: 400, code: FailureCode.BadRequest, message: 'The received bytes are not an HTTP request.' }
+const malformed: BrokenRequest = { status: 400, code: FailureCode.BadRequest, message: 'These bytes are not a request of HTTP.' }
 
 /** Keyed by the error code of the HTTP library. */
 const brokenRequests: Record<string, BrokenRequest> = {
--- a/packages/foxtaillever-router/src/callers/readSubmission.ts
+++ b/packages/foxtaillever-router/src/callers/readSubmission.ts
@@ -131,7 +131,7 @@
   const read = readers[context.path](context.body)
   if (!read.success) {
     const issue = read.error.issues[0]
-    return Left(badRequest(`${issue?.path.join('.') || 'body'}: ${issue?.message ?? 'cannot be read'}`))
+    return Left(badRequest(`${issue?.path.join('.') || 'body'}: ${issue?.message ?? 'not understood'}`))
   }
   if (!Object.hasOwn(context.configuration.models, read.data.model)) {
     return Left(Failure.notRun(FailureCode.UnknownModel, `Model ${read.data.model} is not known here.`))
--- a/packages/foxtaillever-router/src/control/instanceControl.ts
+++ b/packages/foxtaillever-router/src/control/instanceControl.ts
@@ -135,7 +135,7 @@
   async giveOrder (order: ServerOrder, author: string): Promise<Either<Failure, OrderProgress>> {
     const { orders, logs } = this.options
     if (!orders) {
-      return Left(Failure.notRun(FailureCode.BackendServerRefused, 'This instance cannot give orders to backend servers.'))
+      return Left(Failure.notRun(FailureCode.BackendServerRefused, 'This instance gives no orders to backend servers.'))
     }
     if (!(order.server in this.inForce().servers)) {
       return Left(Failure.notRun(FailureCode.BadRequest, `There is no backend server "${order.server}": \`foxtaillever servers\` lists them.`))
--- a/packages/foxtaillever-router/src/core/attemptRunner.ts
+++ b/packages/foxtaillever-router/src/core/attemptRunner.ts
@@ -165,7 +165,7 @@
     serverReports.recordIncarnation(row.server, start.incarnation, clock.now())
     if (!this.isExpected(row, connection, start)) {
       row.stream?.detach()
-      this.endAttempt(row, engine, Failure.create(FailureCode.Stale, Verdict.Ran, 'The backend server restarted or changed its weights; the stream cannot be resumed.'))
+      this.endAttempt(row, engine, Failure.create(FailureCode.Stale, Verdict.Ran, 'The backend server restarted or changed its weights; the stream is not the same.'))
       return
     }
     connection.hasStarted = true
@@ -208,7 +208,7 @@
     const { safeguards, invariants, listener } = this.options
     const isComplete = end.completionTokens === row.delivered
     if (safeguards[Safeguard.SequenceCheck] && !isComplete) {
-      this.onFailed(row, engine, connection, Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The engine\'s stream ended before its last token.'))
+      this.onFailed(row, engine, connection, Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The engine\'s stream ended short.'))
       return
     }
     invariants.check(Invariant.AnswerComplete, isComplete, () => `${row.submission.job.id}: ${row.delivered} of ${end.completionTokens}`)
--- a/packages/foxtaillever-router/src/core/routerCore.ts
+++ b/packages/foxtaillever-router/src/core/routerCore.ts
@@ -137,7 +137,7 @@
   resumeStream (submission: Submission, position: StreamPosition, responder: Responder): void {
     const server = this.configuration?.servers[position.server]
     if (!server) {
-      responder.failed(Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The backend server of this stream no longer exists.'))
+      responder.failed(Failure.create(FailureCode.StreamBroken, Verdict.Ran, 'The backend server of this stream is not there any more.'))
       return
     }
     this.observer.arrived(submission.job)
--- a/packages/foxtaillever-router/src/plain/matchCall.ts
+++ b/packages/foxtaillever-router/src/plain/matchCall.ts
@@ -36,7 +36,7 @@
 
 export function matchCall (configuration: Configuration, method: string, url: string): Either<Failure, MatchedCall> {
   if (hasDotSegment(url)) {
-    return Left(Failure.notRun(FailureCode.BadRequest, 'The path may not contain "." or ".." segments.'))
+    return Left(Failure.notRun(FailureCode.BadRequest, 'The path may not step upwards.'))
   }
   const service = Object.values(configuration.services).find(candidate => isBelow(url, candidate.path))
   if (!service) {
--- a/packages/foxtaillever-router/src/plain/plainRouter.ts
+++ b/packages/foxtaillever-router/src/plain/plainRouter.ts
@@ -160,7 +160,7 @@
     }
     const onCallerGone = (): void => {
       this.gate.withdrawCall(id)
-      onPass(Left(Failure.notRun(FailureCode.Cancelled, 'The caller has disconnected.')))
+      onPass(Left(Failure.notRun(FailureCode.Cancelled, 'The caller has gone.')))
     }
     caller.response.once('close', onCallerGone)
     this.gate.acquireSlot({ id, service, deadline }, this.options.clock.now(), onPass)
--- a/packages/foxtaillever-standins/src/engine/engineServer.ts
+++ b/packages/foxtaillever-standins/src/engine/engineServer.ts
@@ -169,7 +169,7 @@
   serveFaults(server, model)
   server.setNotFoundHandler((_, reply) => {
     reply.hijack()
-    sendFailure(reply, Failure.create(FailureCode.UnknownRoute, Verdict.NotRun, 'No such route.'))
+    sendFailure(reply, Failure.create(FailureCode.UnknownRoute, Verdict.NotRun, 'No such call.'))
   })
   closeServerOnCrash(server, model)
   return server
--- a/packages/foxtaillever-standins/src/engine/keptCacheTransfer.ts
+++ b/packages/foxtaillever-standins/src/engine/keptCacheTransfer.ts
@@ -47,5 +47,5 @@
 }
 
 function refuseStale (): Either<Failure, number> {
-  return Left(Failure.notRun(FailureCode.Stale, 'The cache identity does not match the request or the loaded weights.'))
+  return Left(Failure.notRun(FailureCode.Stale, 'This is not the cache that was asked for.'))
 }
